--- a/packages/bulrushgrade/bulrushgrade/catalog.py
+++ b/packages/bulrushgrade/bulrushgrade/catalog.py
@@ -22,16 +22,16 @@
 class Catalog:
     """Accepted documents and the newest verdicts of each service."""
 
-    def __init__(self, *, rules: Mapping[int, acceptance.Rules]):
-        self._scene = acceptance.Scene(rules=rules)
+    def __init__(self, *, rules: Mapping[int, acceptance.RuleSet]):
+        self._accepted_state = acceptance.AcceptedState(rules=rules)
         self._states: dict[str, publication.ServiceState] = {}
         self._digests: dict[str, int] = {}
         self._verdicts: dict[str, publication.Verdict] = {}
 
     @property
-    def scene(self) -> acceptance.Scene:
+    def accepted_state(self) -> acceptance.AcceptedState:
         """What the next publish is judged against."""
-        return self._scene
+        return self._accepted_state
 
     @property
     def states(self) -> tuple[publication.ServiceState, ...]:
@@ -52,16 +52,16 @@
         """Returns the verdict on a record id that is still remembered."""
         return self._verdicts.get(record_id)
 
-    def keep(
-        self, publish: publication.Publish, judgement: acceptance.Judgement
+    def add_evaluation(
+        self, publish: publication.Publish, evaluation: acceptance.Evaluation
     ) -> None:
         """Adds the verdict on a publish and, if accepted, the document."""
-        owned = acceptance.owns(self._scene, publish)
-        name = publish.service if owned else publication.STRAY
+        owned = acceptance.is_owner(self._accepted_state, publish)
+        name = publish.service if owned else publication.UNOWNED
         limit = publication.MAX_VERDICTS
         if not owned:
-            limit = publication.MAX_STRAY_VERDICTS
-        verdict = judgement.verdict
+            limit = publication.MAX_UNOWNED_VERDICTS
+        verdict = evaluation.verdict
         verdicts = (*self.state(name).verdicts, verdict)
         for old in verdicts[:-limit]:
             del self._verdicts[old.record_id]
@@ -71,33 +71,38 @@
                 state, accepted=_make_revision(publish, verdict)
             )
         self._verdicts[verdict.record_id] = verdict
-        self._put(state)
-        if judgement.parsed is not None:
-            self._set_document(name, verdict.offset, judgement.parsed)
+        self._store_state(state)
+        if evaluation.parsed is not None:
+            self._set_document(name, verdict.offset, evaluation.parsed)
 
     def replace(
         self, states: Iterable[publication.ServiceState]
     ) -> Result[None, errors.BadSnapshot]:
         """Takes over other states as a whole, or none of them."""
-        scene = acceptance.Scene(rules=self._scene.rules)
-        made = Catalog(rules=scene.rules)
+        accepted_state = acceptance.AcceptedState(
+            rules=self._accepted_state.rules
+        )
+        candidate = Catalog(rules=accepted_state.rules)
         for state in states:
-            made._put(state)
+            candidate._store_state(state)
             for verdict in state.verdicts:
-                made._verdicts[verdict.record_id] = verdict
+                candidate._verdicts[verdict.record_id] = verdict
             if state.accepted is None:
                 continue
             read = self._parse(state.service, state.accepted)
             if isinstance(read, Failure):
                 return read
             offset = state.accepted.offset
-            made._set_document(state.service, offset, read.unwrap())
-        behind = self._behind(made)
-        if behind:
-            reason = f"would go back behind accepted revisions of {behind}"
+            candidate._set_document(state.service, offset, read.unwrap())
+        regressed = self._find_regressed(candidate)
+        if regressed:
+            reason = f"would go back behind accepted revisions of {regressed}"
             return Failure(errors.BadSnapshot(reason=reason))
-        self._scene, self._states = made._scene, made._states
-        self._digests, self._verdicts = made._digests, made._verdicts
+        self._accepted_state, self._states = (
+            candidate._accepted_state,
+            candidate._states,
+        )
+        self._digests, self._verdicts = candidate._digests, candidate._verdicts
         return Success(None)
 
     def _parse(
@@ -108,12 +113,14 @@
         # A serving daemon that is a few records behind hears a snapshot now
         # and then; parsing every document anew would hold up its requests.
         if self.state(service).accepted != revision:
-            return _parse_revision(service, revision, self._scene.rules)
-        if service == document.FLEET and self._scene.fleet_document:
-            return Success(self._scene.fleet_document)
-        return Success(self._scene.documents[service])
+            return _parse_revision(
+                service, revision, self._accepted_state.rules
+            )
+        if service == document.FLEET and self._accepted_state.fleet_document:
+            return Success(self._accepted_state.fleet_document)
+        return Success(self._accepted_state.documents[service])
 
-    def _put(self, state: publication.ServiceState) -> None:
+    def _store_state(self, state: publication.ServiceState) -> None:
         self._states[state.service] = state
         self._digests[state.service] = publication.digest_state(state)
 
@@ -121,22 +128,24 @@
         self,
         name: str,
         offset: int,
-        made: document.ServiceDocument | fleet.FleetDocument,
+        parsed: document.ServiceDocument | fleet.FleetDocument,
     ) -> None:
-        scene = self._scene
-        scene.accepted[name] = offset
-        if not isinstance(made, fleet.FleetDocument):
-            scene.documents[name] = made
-            if scene.fleet_document is not None:
-                capacity = scene.fleet_document.capacity_token_s_per_s
-                scene.fractions[name] = made.share.fraction_of(capacity)
+        accepted_state = self._accepted_state
+        accepted_state.offsets[name] = offset
+        if not isinstance(parsed, fleet.FleetDocument):
+            accepted_state.documents[name] = parsed
+            if accepted_state.fleet_document is not None:
+                capacity = accepted_state.fleet_document.capacity_token_s_per_s
+                accepted_state.guaranteed_fractions[name] = (
+                    parsed.share.fraction_of(capacity)
+                )
             return
-        scene.fleet_document = made
-        scene.fractions = acceptance.find_fractions(
-            scene.documents, made.capacity_token_s_per_s
+        accepted_state.fleet_document = parsed
+        accepted_state.guaranteed_fractions = acceptance.compute_fractions(
+            accepted_state.documents, parsed.capacity_token_s_per_s
         )
         # Names that came and went without a document would pile up.
-        kept = {*made.owners, document.FLEET, publication.STRAY}
+        kept = {*parsed.owners, document.FLEET, publication.UNOWNED}
         for state in self.states:
             if state.service not in kept and state.accepted is None:
                 del self._states[state.service]
@@ -144,14 +153,14 @@
                 for verdict in state.verdicts:
                     del self._verdicts[verdict.record_id]
 
-    def _behind(self, other: "Catalog") -> str:
+    def _find_regressed(self, other: "Catalog") -> str:
         # What was once accepted stays, or a later revision takes its place. A
         # state that says otherwise comes from a fold that went wrong.
-        theirs = other.scene.accepted
+        other_offsets = other.accepted_state.offsets
         names = [
             name
-            for name, offset in self._scene.accepted.items()
-            if theirs.get(name, -1) < offset
+            for name, offset in self._accepted_state.offsets.items()
+            if other_offsets.get(name, -1) < offset
         ]
         return ", ".join(sorted(names))
 
@@ -171,7 +180,7 @@
 def _parse_revision(
     service: str,
     revision: publication.Revision,
-    rules: Mapping[int, acceptance.Rules],
+    rules: Mapping[int, acceptance.RuleSet],
 ) -> Result[document.ServiceDocument | fleet.FleetDocument, errors.BadSnapshot]:
     known = rules.get(revision.validation)
     if known is None:
--- a/packages/bulrushgrade/bulrushgrade/checkpoint.py
+++ b/packages/bulrushgrade/bulrushgrade/checkpoint.py
@@ -28,11 +28,11 @@
 # Checkpoints whose parts are collected at a time. An appender that died
 # midway leaves one incomplete for good; more than a few at once means that
 # hosts die as fast as they append.
-MAX_COLLECTED = 4
+MAX_INCOMPLETE = 4
 
 # A third of the retention: the first attempt and two more may fail before the
 # last checkpoint is trimmed.
-RENEW_FRACTION = 1 / 3
+RENEWAL_FRACTION = 1 / 3
 
 # Records that a starting daemon may have to fold after a checkpoint. At some
 # 0.1 ms a fold step this is a tenth of a second; a page or two of reads.
@@ -40,17 +40,17 @@
 
 # Between two daemons' turns: an append, and the time until the next in turn
 # has read it, also while the log is slow.
-TURN_S = 5.0
+TURN_INTERVAL_S = 5.0
 
 # A daemon that starts does not know how old the last checkpoint is. Peers
 # that do are heard within this time; without it a rolling restart would
 # append a checkpoint a host.
-GRACE_S = 15.0
+STARTUP_GRACE_S = 15.0
 
 # Two checkpoints of one daemon are this far apart at least, whatever it
 # sees: at a few MB each, a daemon that can't read its own would else fill the
 # log that all depend on.
-MIN_PERIOD_S = 60.0
+MIN_APPEND_INTERVAL_S = 60.0
 
 
 def serialize_checkpoint(
@@ -132,7 +132,7 @@
     ) -> Collected | None:
         """Takes a part; returns the checkpoint that it completes, if any."""
         key = part.checkpoint_id
-        if key not in self._parts and len(self._parts) >= MAX_COLLECTED:
+        if key not in self._parts and len(self._parts) >= MAX_INCOMPLETE:
             oldest = next(iter(self._parts))
             del self._parts[oldest], self._first[oldest]
         parts = self._parts.setdefault(key, {})
@@ -142,7 +142,8 @@
             return None
         first = self._first.pop(key)
         return Collected(
-            first_offset=first, snapshot=_join(self._parts.pop(key).values())
+            first_offset=first,
+            snapshot=_join_parts(self._parts.pop(key).values()),
         )
 
     def clear(self) -> None:
@@ -151,7 +152,9 @@
         self._first.clear()
 
 
-def _join(parts: Iterable[publication.Checkpoint]) -> publication.Snapshot:
+def _join_parts(
+    parts: Iterable[publication.Checkpoint],
+) -> publication.Snapshot:
     ordered = sorted(parts, key=lambda part: part.part)
     return publication.Snapshot(
         next_offset=ordered[0].next_offset,
@@ -179,38 +182,40 @@
         self._retention_s = retention_s
         self._started_at = now
         self._last: Collected | None = None
-        self._seen_at: float | None = None
+        self._last_seen_at: float | None = None
         self._due_since: float | None = None
         self._appended_at: float | None = None
 
-    def note_checkpoint(
-        self, whole: Collected, *, now: float, fresh: bool
+    def observe_checkpoint(
+        self, complete: Collected, *, now: float, fresh: bool
     ) -> None:
         """Takes a checkpoint that was read.
 
         Args:
-            whole: The checkpoint.
+            complete: The checkpoint.
             now: The present time.
             fresh: Whether this daemon had read the whole stream before, so
                 that the checkpoint is new; else its age is unknown.
         """
-        if self._last and whole.first_offset <= self._last.first_offset:
+        if self._last and complete.first_offset <= self._last.first_offset:
             return
-        self._last = whole
-        self._seen_at = now if fresh else None
+        self._last = complete
+        self._last_seen_at = now if fresh else None
         self._due_since = None
 
-    def tell_age(self, now: float) -> publication.CheckpointAge | None:
+    def report_age(self, now: float) -> publication.CheckpointAge | None:
         """Returns what to tell peers, None where the age is unknown."""
-        if self._last is None or self._seen_at is None:
+        if self._last is None or self._last_seen_at is None:
             return None
         return publication.CheckpointAge(
             first_offset=self._last.first_offset,
             next_offset=self._last.snapshot.next_offset,
-            age_s=now - self._seen_at,
+            age_s=now - self._last_seen_at,
         )
 
-    def note_age(self, told: publication.CheckpointAge, *, now: float) -> None:
+    def observe_peer_age(
+        self, reported: publication.CheckpointAge, *, now: float
+    ) -> None:
         """Takes a peer's word for a checkpoint and its age at least.
 
         A daemon that starts from a peer's snapshot never reads the checkpoint
@@ -218,24 +223,24 @@
         what it has, which is due at once.
         """
         last = -1 if self._last is None else self._last.first_offset
-        if told.first_offset < last:
+        if reported.first_offset < last:
             return
-        if told.first_offset > last:
+        if reported.first_offset > last:
             snapshot = publication.Snapshot(
-                next_offset=told.next_offset, digest="", states=()
+                next_offset=reported.next_offset, digest="", states=()
             )
             self._last = Collected(
-                first_offset=told.first_offset, snapshot=snapshot
+                first_offset=reported.first_offset, snapshot=snapshot
             )
-            self._seen_at = None
-        known = now if self._seen_at is None else self._seen_at
-        self._seen_at = min(known, now - told.age_s)
+            self._last_seen_at = None
+        known = now if self._last_seen_at is None else self._last_seen_at
+        self._last_seen_at = min(known, now - reported.age_s)
 
-    def note_append(self, now: float) -> None:
+    def record_append(self, now: float) -> None:
         """Notes that this daemon sends a checkpoint now."""
         self._appended_at = now
 
-    def find_due(
+    def find_due_reason(
         self,
         *,
         now: float,
@@ -253,27 +258,27 @@
             next_offset: How far this daemon's fold has come.
             earliest_offset: The oldest record that the log has.
         """
-        reason = self._find_reason(now, next_offset, earliest_offset)
+        reason = self._find_renewal_reason(now, next_offset, earliest_offset)
         if reason is None:
             self._due_since = None
             return None
         if self._due_since is None:
             self._due_since = now
         last = self._last.first_offset if self._last else -1
-        wait_s = TURN_S * find_turn(self._address, hosts, last)
+        wait_s = TURN_INTERVAL_S * find_turn(self._address, hosts, last)
         if now < self._due_since + wait_s:
             return None
         recent = self._appended_at is not None
-        if recent and now < self._appended_at + MIN_PERIOD_S:
+        if recent and now < self._appended_at + MIN_APPEND_INTERVAL_S:
             return None
         return reason
 
-    def _find_reason(
+    def _find_renewal_reason(
         self, now: float, next_offset: int, earliest_offset: int
     ) -> str | None:
         if next_offset == 0:
             return None
-        in_grace = now < self._started_at + GRACE_S
+        in_grace = now < self._started_at + STARTUP_GRACE_S
         if self._last is None:
             return None if in_grace else "no checkpoint is known"
         # The state goes up to next_offset, and its parts come later: a reader
@@ -282,9 +287,9 @@
             return "the log has trimmed what the checkpoint needs"
         if next_offset - self._last.snapshot.next_offset > MAX_RECORDS_BEHIND:
             return "many records since the last checkpoint"
-        if self._seen_at is None:
+        if self._last_seen_at is None:
             return None if in_grace else "the last checkpoint may be old"
-        if now - self._seen_at > self._retention_s * RENEW_FRACTION:
+        if now - self._last_seen_at > self._retention_s * RENEWAL_FRACTION:
             return "the last checkpoint is old"
         return None
 
--- a/packages/bulrushgrade/bulrushgrade/document.py
+++ b/packages/bulrushgrade/bulrushgrade/document.py
@@ -1,9 +1,9 @@
 """Service documents: what one service asks of the shared fleet.
 
 A team writes a document in INI and publishes it; every daemon parses it by
-the same rules and comes to the same verdict. `VALIDATION` numbers the rules:
-a change to what is accepted takes a new number, and the old rules stay, since
-daemons of two releases fold the same stream.
+the same rules and comes to the same verdict. `LATEST_VALIDATION` numbers the
+rules: a change to what is accepted takes a new number, and the old rules stay,
+since daemons of two releases fold the same stream.
 """
 
 import attrs
@@ -11,13 +11,13 @@
 from returns.result import Result
 from returns.result import Success
 
-from bulrushgrade import demand
 from bulrushgrade import errors
 from bulrushgrade import ini
+from bulrushgrade import servicespec
 
 # The newest rules that this release knows, and the number that a document
 # gives as its format.
-VALIDATION = 1
+LATEST_VALIDATION = 1
 
 # Published as if it were a service; no service may have this name.
 FLEET = "fleet"
@@ -41,14 +41,18 @@
 class ServiceDocument:
     """One service's document; sections are attributes, see their classes."""
 
-    heading: demand.Heading
-    models: tuple[demand.ModelUse, ...] = ()
-    deadlines: tuple[demand.DeadlineClass, ...]
-    share: demand.Share = attrs.field(factory=demand.Share)
-    routes: tuple[demand.Route, ...] = ()
-    retry: demand.RetryLimits = attrs.field(factory=demand.RetryLimits)
-    queue: demand.QueueLimits = attrs.field(factory=demand.QueueLimits)
-    weights: demand.Weights = attrs.field(factory=demand.Weights)
+    heading: servicespec.Heading
+    models: tuple[servicespec.ModelUse, ...] = ()
+    deadlines: tuple[servicespec.DeadlineClass, ...]
+    share: servicespec.Share = attrs.field(factory=servicespec.Share)
+    routes: tuple[servicespec.Route, ...] = ()
+    retry: servicespec.RetryLimits = attrs.field(
+        factory=servicespec.RetryLimits
+    )
+    queue: servicespec.QueueLimits = attrs.field(
+        factory=servicespec.QueueLimits
+    )
+    weights: servicespec.Weights = attrs.field(factory=servicespec.Weights)
 
     @property
     def service(self) -> str:
@@ -72,7 +76,7 @@
 
 
 def _count(name: str, low: int, high: int, **options) -> ini.Key:
-    return ini.number_key(name, low=low, high=high, whole=True, **options)
+    return ini.number_key(name, low=low, high=high, integer=True, **options)
 
 
 def name_key(name: str, **options) -> ini.Key:
@@ -81,13 +85,13 @@
 
 
 FORMAT_KEY = ini.number_key(
-    "format", low=VALIDATION, high=VALIDATION, whole=True
+    "format", low=LATEST_VALIDATION, high=LATEST_VALIDATION, integer=True
 )
 
 SCHEMA = (
     ini.Section(
         name="document",
-        make=demand.Heading,
+        factory=servicespec.Heading,
         keys=(
             FORMAT_KEY,
             name_key("service"),
@@ -99,7 +103,7 @@
     ),
     ini.Section(
         name="model",
-        make=demand.ModelUse,
+        factory=servicespec.ModelUse,
         named=True,
         name_pattern=MODEL_NAME,
         required=False,
@@ -116,7 +120,7 @@
     ),
     ini.Section(
         name="deadline",
-        make=demand.DeadlineClass,
+        factory=servicespec.DeadlineClass,
         named=True,
         keys=(
             # An hour bounds how long a planned stop can take.
@@ -135,20 +139,20 @@
     ),
     ini.Section(
         name="share",
-        make=demand.Share,
+        factory=servicespec.Share,
         required=False,
         keys=(
             ini.number_key(
                 "guaranteed_token_s_per_s", low=0, high=1e12, default=None
             ),
             ini.number_key("guaranteed_fraction", low=0, high=1, default=None),
-            ini.flag_key("borrow", default=True),
+            ini.boolean_key("borrow", default=True),
             _count("priority", 0, 9, default=5),
         ),
     ),
     ini.Section(
         name="route",
-        make=demand.Route,
+        factory=servicespec.Route,
         named=True,
         required=False,
         keys=(
@@ -162,7 +166,7 @@
                 pattern=_PATH,
                 expected="/segment/*/..., with a last /** for the rest",
             ),
-            ini.flag_key("repeatable"),
+            ini.boolean_key("repeatable"),
             ini.text_key(
                 "idempotency_header",
                 pattern=_HEADER,
@@ -174,7 +178,7 @@
     ),
     ini.Section(
         name="retry",
-        make=demand.RetryLimits,
+        factory=servicespec.RetryLimits,
         required=False,
         keys=(
             _count("max_attempts", 1, 5, default=3),
@@ -185,7 +189,7 @@
     ),
     ini.Section(
         name="queue",
-        make=demand.QueueLimits,
+        factory=servicespec.QueueLimits,
         required=False,
         keys=(
             _count("max_requests", 1, 100_000, default=256),
@@ -194,7 +198,7 @@
     ),
     ini.Section(
         name="weights",
-        make=demand.Weights,
+        factory=servicespec.Weights,
         required=False,
         keys=(
             ini.number_key("goodput", low=0, high=1000, default=1.0),
@@ -221,18 +225,18 @@
     )
     for check in (_check_names, _check_kind, _check_deadlines, _check_routes):
         check(parsed)
-    if parsed.faults:
-        return Failure(tuple(parsed.faults))
+    if parsed.found_errors:
+        return Failure(tuple(parsed.found_errors))
     return Success(
         ServiceDocument(
-            heading=parsed.one("document"),
+            heading=parsed.single("document"),
             models=parsed.objects["model"],
             deadlines=parsed.objects["deadline"],
-            share=parsed.one("share"),
+            share=parsed.single("share"),
             routes=parsed.objects["route"],
-            retry=parsed.one("retry"),
-            queue=parsed.one("queue"),
-            weights=parsed.one("weights"),
+            retry=parsed.single("retry"),
+            queue=parsed.single("queue"),
+            weights=parsed.single("weights"),
         )
     )
 
@@ -258,38 +262,42 @@
     for kind, names in parsed.names.items():
         if len(names) > MAX_NAMED_SECTIONS:
             expected = f"at most {MAX_NAMED_SECTIONS}"
-            parsed.fault(kind, "", f"{len(names)} sections", expected)
-    heading = parsed.one("document")
+            parsed.add_error(kind, "", f"{len(names)} sections", expected)
+    heading = parsed.single("document")
     if heading is not None and heading.service == FLEET:
         expected = "another name; this one stands for the fleet's document"
-        parsed.fault("document", "service", "reserved name", expected)
+        parsed.add_error("document", "service", "reserved name", expected)
 
 
 def _check_kind(parsed: ini.Parsed) -> None:
-    heading, share = parsed.one("document"), parsed.one("share")
+    heading, share = parsed.single("document"), parsed.single("share")
     if heading is None:
         return
-    engines = heading.kind == "model"
-    if engines and not parsed.names["model"]:
-        parsed.fault("model NAME", "", "missing", "a model service has one")
-    if not engines and parsed.names.get("model"):
+    uses_engines = heading.kind == "model"
+    if uses_engines and not parsed.names["model"]:
+        parsed.add_error("model NAME", "", "missing", "a model service has one")
+    if not uses_engines and parsed.names.get("model"):
         header = f"model {parsed.names['model'][0]}"
-        parsed.fault(header, "", "a plain service has none", "no such section")
+        parsed.add_error(
+            header, "", "a plain service has none", "no such section"
+        )
     if share is None:
         return
-    given = [share.guaranteed_token_s_per_s, share.guaranteed_fraction]
-    stated = sum(value is not None for value in given)
+    guarantees = [share.guaranteed_token_s_per_s, share.guaranteed_fraction]
+    guarantee_count = sum(value is not None for value in guarantees)
     keys = "guaranteed_token_s_per_s or guaranteed_fraction"
-    if engines and stated != 1:
+    if uses_engines and guarantee_count != 1:
         # A service without a guarantee could be starved by any borrower.
-        parsed.fault("share", keys, f"{stated} given", "exactly one")
-    if not engines and stated:
+        parsed.add_error(
+            "share", keys, f"{guarantee_count} given", "exactly one"
+        )
+    if not uses_engines and guarantee_count:
         reason = "a plain service uses no engines"
-        parsed.fault("share", keys, reason, "neither")
+        parsed.add_error("share", keys, reason, "neither")
 
 
 def _check_deadlines(parsed: ini.Parsed) -> None:
-    heading = parsed.one("document")
+    heading = parsed.single("document")
     for deadline in parsed.objects.get("deadline", ()):
         header = f"deadline {deadline.name}"
         if heading is not None:
@@ -298,26 +306,26 @@
             value = getattr(deadline, key)
             if value is not None and value > deadline.whole_answer_s:
                 expected = "at most whole_answer_s"
-                parsed.fault(header, key, f"{value:g} s", expected)
+                parsed.add_error(header, key, f"{value:g} s", expected)
     classes = parsed.objects.get("deadline", ())
     if len(classes) < len(parsed.names.get("deadline", ())):
         return
     for deadline in classes[:-1]:
-        if deadline.unconditional:
+        if deadline.is_unconditional:
             reason = "takes every request, so that none reaches later classes"
             expected = "a condition, or its place at the end"
-            parsed.fault(f"deadline {deadline.name}", "", reason, expected)
-    if classes and not classes[-1].unconditional:
+            parsed.add_error(f"deadline {deadline.name}", "", reason, expected)
+    if classes and not classes[-1].is_unconditional:
         header = f"deadline {classes[-1].name}"
         expected = "a last class without conditions, for all other requests"
-        parsed.fault(header, "", "has a condition", expected)
+        parsed.add_error(header, "", "has a condition", expected)
 
 
 def _check_limits(
     parsed: ini.Parsed,
     header: str,
-    deadline: demand.DeadlineClass,
-    engines: bool,
+    deadline: servicespec.DeadlineClass,
+    uses_engines: bool,
 ) -> None:
     tokens = (
         "first_token_s",
@@ -325,14 +333,14 @@
         "max_prompt_tokens",
         "max_answer_tokens",
     )
-    for key in tokens[:2] if engines else ():
+    for key in tokens[:2] if uses_engines else ():
         if getattr(deadline, key) is None:
             expected = "a limit, for a model service"
-            parsed.fault(header, key, "missing", expected)
-    for key in () if engines else tokens:
+            parsed.add_error(header, key, "missing", expected)
+    for key in () if uses_engines else tokens:
         if getattr(deadline, key) is not None:
             reason = "a plain service has no tokens"
-            parsed.fault(header, key, reason, "no such key")
+            parsed.add_error(header, key, reason, "no such key")
 
 
 def _check_routes(parsed: ini.Parsed) -> None:
@@ -341,7 +349,9 @@
         if route.deadline is not None and route.deadline not in classes:
             expected = "one of " + ", ".join(classes)
             reason = f"no deadline class {route.deadline!r}"
-            parsed.fault(f"route {route.name}", "deadline", reason, expected)
-    weights = parsed.one("weights")
+            parsed.add_error(
+                f"route {route.name}", "deadline", reason, expected
+            )
+    weights = parsed.single("weights")
     if weights is not None and weights.goodput + weights.role_changes <= 0:
-        parsed.fault("weights", "goodput", "both are 0", "one above 0")
+        parsed.add_error("weights", "goodput", "both are 0", "one above 0")
--- a/packages/bulrushgrade/bulrushgrade/errors.py
+++ b/packages/bulrushgrade/bulrushgrade/errors.py
@@ -139,7 +139,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class UnjudgedRecord:
+class UnsupportedRules:
     """A publish that this release has no rules for.
 
     Attributes:
--- a/packages/bulrushgrade/bulrushgrade/fleet.py
+++ b/packages/bulrushgrade/bulrushgrade/fleet.py
@@ -23,7 +23,7 @@
 
 # Shares such as 0.1 + 0.2 + 0.7 come to a hair more than 1 in binary
 # fractions; no fleet is sized to a billionth.
-ROUNDING = 1e-9
+FRACTION_TOLERANCE = 1e-9
 
 
 @attrs.frozen(kw_only=True)
@@ -41,7 +41,7 @@
     format: int
     name: str
     team: str
-    newest_format: int = document.VALIDATION
+    newest_format: int = document.LATEST_VALIDATION
 
 
 @attrs.frozen(kw_only=True)
@@ -110,7 +110,7 @@
 SCHEMA = (
     ini.Section(
         name="fleet",
-        make=FleetHeading,
+        factory=FleetHeading,
         keys=(
             document.FORMAT_KEY,
             document.name_key("name"),
@@ -119,20 +119,20 @@
                 "newest_format",
                 low=1,
                 high=1000,
-                whole=True,
-                default=document.VALIDATION,
+                integer=True,
+                default=document.LATEST_VALIDATION,
             ),
         ),
     ),
     ini.Section(
         name="region",
-        make=Region,
+        factory=Region,
         named=True,
         keys=(ini.list_key("zones", pattern=document.NAME, expected="names"),),
     ),
     ini.Section(
         name="team",
-        make=Team,
+        factory=Team,
         named=True,
         keys=(
             ini.list_key(
@@ -142,12 +142,12 @@
     ),
     ini.Section(
         name="engines",
-        make=Engines,
+        factory=Engines,
         named=True,
         required=False,
         keys=(
             document.name_key("zone"),
-            ini.number_key("count", low=0, high=100_000, whole=True),
+            ini.number_key("count", low=0, high=100_000, integer=True),
             ini.number_key("token_s_per_s", low=0, high=1e9),
         ),
     ),
@@ -170,14 +170,14 @@
         text, source=source, schema=SCHEMA, max_bytes=MAX_BYTES
     )
     _check_team(parsed)
-    _check_once(parsed, "region", "zones")
-    _check_once(parsed, "team", "services")
+    _check_unique(parsed, "region", "zones")
+    _check_unique(parsed, "team", "services")
     _check_zones(parsed)
-    if parsed.faults:
-        return Failure(tuple(parsed.faults))
+    if parsed.found_errors:
+        return Failure(tuple(parsed.found_errors))
     return Success(
         FleetDocument(
-            heading=parsed.one("fleet"),
+            heading=parsed.single("fleet"),
             regions=parsed.objects["region"],
             teams=parsed.objects["team"],
             engines=parsed.objects["engines"],
@@ -198,32 +198,32 @@
     )
 
 
-def fits(fractions: Iterable[float]) -> bool:
+def fractions_fit(fractions: Iterable[float]) -> bool:
     """Whether guaranteed parts of a capacity fit it together.
 
     The sum is exact before it is rounded (`math.fsum`), so that the verdict
     does not depend on the order in which a daemon came by the documents.
     """
-    return math.fsum(fractions) <= 1.0 + ROUNDING
+    return math.fsum(fractions) <= 1.0 + FRACTION_TOLERANCE
 
 
 def _check_team(parsed: ini.Parsed) -> None:
-    heading, teams = parsed.one("fleet"), parsed.names.get("team", ())
+    heading, teams = parsed.single("fleet"), parsed.names.get("team", ())
     if heading is not None and heading.team not in teams:
         expected = "a team with a section of its own"
-        parsed.fault("fleet", "team", f"no team {heading.team!r}", expected)
+        parsed.add_error("fleet", "team", f"no team {heading.team!r}", expected)
 
 
-def _check_once(parsed: ini.Parsed, kind: str, key: str) -> None:
+def _check_unique(parsed: ini.Parsed, kind: str, key: str) -> None:
     seen: dict[str, str] = {}
-    for made in parsed.objects.get(kind, ()):
-        header = f"{kind} {made.name}"
-        for name in getattr(made, key):
+    for instance in parsed.objects.get(kind, ()):
+        header = f"{kind} {instance.name}"
+        for name in getattr(instance, key):
             if name in seen:
                 reason = f"{name!r} also stands under [{seen[name]}]"
-                parsed.fault(header, key, reason, "each name once")
+                parsed.add_error(header, key, reason, "each name once")
             if name == document.FLEET:
-                parsed.fault(header, key, "reserved name", "another name")
+                parsed.add_error(header, key, "reserved name", "another name")
             seen.setdefault(name, header)
 
 
@@ -236,4 +236,6 @@
         if engines.zone not in zones:
             reason = f"no availability zone {engines.zone!r}"
             expected = "a zone that a region lists"
-            parsed.fault(f"engines {engines.name}", "zone", reason, expected)
+            parsed.add_error(
+                f"engines {engines.name}", "zone", reason, expected
+            )
--- a/packages/bulrushgrade/bulrushgrade/ini.py
+++ b/packages/bulrushgrade/bulrushgrade/ini.py
@@ -31,7 +31,7 @@
 
 # No header can hold a line break, so no text can open the parser's default
 # section, whose keys would show up in every other section.
-_NO_DEFAULT = "\n"
+_UNREACHABLE_DEFAULT = "\n"
 
 
 @attrs.frozen(kw_only=True)
@@ -59,7 +59,7 @@
 
     Attributes:
         name: Its header, or the header's first word where `named`.
-        make: Called with each key's value, and `name` where `named`.
+        factory: Called with each key's value, and `name` where `named`.
         keys: The keys that it may have.
         named: Whether headers are ``[name NAME]`` and may stand repeatedly.
         name_pattern: What the name in a header has to match.
@@ -68,7 +68,7 @@
     """
 
     name: str
-    make: Callable[..., Any]
+    factory: Callable[..., Any]
     keys: tuple[Key, ...]
     named: bool = False
     name_pattern: str = r"[a-z][a-z0-9-]{0,62}"
@@ -83,22 +83,24 @@
         source: Where the text came from.
         objects: What sections of a kind made; sections with a fault made none.
         names: The names of all named sections of a kind, faulty ones too.
-        faults: Every error found so far.
+        found_errors: Every error found so far.
     """
 
     source: str
     objects: dict[str, tuple[Any, ...]] = attrs.field(factory=dict)
     names: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
-    faults: list[errors.DocumentError] = attrs.field(factory=list)
+    found_errors: list[errors.DocumentError] = attrs.field(factory=list)
 
-    def one(self, kind: str) -> Any:
+    def single(self, kind: str) -> Any:
         """Returns the object of a section that stands once, or None."""
-        made = self.objects.get(kind, ())
-        return made[0] if made else None
+        instances = self.objects.get(kind, ())
+        return instances[0] if instances else None
 
-    def fault(self, section: str, key: str, reason: str, expected: str) -> None:
+    def add_error(
+        self, section: str, key: str, reason: str, expected: str
+    ) -> None:
         """Notes an error."""
-        self.faults.append(
+        self.found_errors.append(
             errors.DocumentError(
                 source=self.source,
                 section=section,
@@ -110,7 +112,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Found:
+class _RawSection:
     header: str
     name: str
     texts: dict[str, str]
@@ -131,26 +133,26 @@
     *,
     low: float,
     high: float,
-    whole: bool = False,
+    integer: bool = False,
     unit: str = "",
     **options: Any,
 ) -> Key:
     """Returns a key for a number within limits that belong to the range."""
 
     def convert(text: str) -> float | int | None:
-        if not _NUMBER.fullmatch(text) or (whole and not text.isdigit()):
+        if not _NUMBER.fullmatch(text) or (integer and not text.isdigit()):
             return None
-        value = int(text) if whole else float(text)
+        value = int(text) if integer else float(text)
         return value if low <= value <= high else None
 
-    kind = "a whole number" if whole else "a number"
+    kind = "a whole number" if integer else "a number"
     expected = f"{kind} {unit + ' ' if unit else ''}from {low:g} to {high:g}"
     return Key(
         name=name, convert=convert, expected=expected, render=repr, **options
     )
 
 
-def flag_key(name: str, **options: Any) -> Key:
+def boolean_key(name: str, **options: Any) -> Key:
     """Returns a key for yes or no."""
     return Key(
         name=name,
@@ -197,11 +199,13 @@
     parsed = Parsed(source=source)
     size = len(text.encode("utf-8", "surrogatepass"))
     if size > max_bytes:
-        parsed.fault("", "", f"{size} bytes long", f"at most {max_bytes} bytes")
+        parsed.add_error(
+            "", "", f"{size} bytes long", f"at most {max_bytes} bytes"
+        )
         return parsed
-    parser = _read_lines(text, parsed)
+    parser = _read_with_recovery(text, parsed)
     kinds = {section.name: section for section in schema}
-    seen: dict[str, list[_Found]] = {}
+    seen: dict[str, list[_RawSection]] = {}
     for header in parser.sections():
         if header.startswith(_DUPLICATE):
             continue
@@ -212,14 +216,14 @@
                 f"[{s.name} NAME]" if s.named else f"[{s.name}]"
                 for s in kinds.values()
             )
-            parsed.fault(header, "", "unknown section", f"one of {allowed}")
+            parsed.add_error(header, "", "unknown section", f"one of {allowed}")
             continue
-        found = _Found(
+        found = _RawSection(
             header=header, name=name, texts=dict(parser.items(header))
         )
         seen.setdefault(kind, []).append(found)
     for kind, section in kinds.items():
-        _read_kind(section, seen.get(kind, []), parsed)
+        _read_sections(section, seen.get(kind, []), parsed)
     return parsed
 
 
@@ -229,96 +233,104 @@
     """Returns the INI text of objects, section kinds in the schema's order."""
     out = io.StringIO()
     for section in schema:
-        for made in objects.get(section.name, ()):
-            name = f" {made.name}" if section.named else ""
+        for instance in objects.get(section.name, ()):
+            name = f" {instance.name}" if section.named else ""
             out.write(f"[{section.name}{name}]\n")
             for key in section.keys:
-                value = getattr(made, key.name)
+                value = getattr(instance, key.name)
                 if value is not None:
                     out.write(f"{key.name} = {key.render(value)}\n")
             out.write("\n")
     return out.getvalue()
 
 
-def _read_lines(text: str, parsed: Parsed) -> configparser.RawConfigParser:
+def _read_with_recovery(
+    text: str, parsed: Parsed
+) -> configparser.RawConfigParser:
     lines = text.split("\n")
     while True:
         parser = configparser.RawConfigParser(
             interpolation=None,
             delimiters=("=",),
-            default_section=_NO_DEFAULT,
+            default_section=_UNREACHABLE_DEFAULT,
             empty_lines_in_values=False,
         )
         try:
             parser.read_string("\n".join(lines))
             return parser
         except configparser.DuplicateSectionError as error:
-            parsed.fault(error.section, "", "stands twice", "each section once")
+            parsed.add_error(
+                error.section, "", "stands twice", "each section once"
+            )
             lines[error.lineno - 1] = f"[{_DUPLICATE}{error.lineno}]"
         except configparser.DuplicateOptionError as error:
-            parsed.fault(
+            parsed.add_error(
                 error.section, error.option, "stands twice", "each key once"
             )
             lines[error.lineno - 1] = ""
         except configparser.MissingSectionHeaderError as error:
             reason = f"line {error.lineno} stands before any section"
-            parsed.fault("", "", reason, "[SECTION] first")
+            parsed.add_error("", "", reason, "[SECTION] first")
             lines[error.lineno - 1] = ""
         except configparser.ParsingError as error:
             for number, line in error.errors:
                 reason = f"line {number} can't be read: {line.strip()}"
-                parsed.fault("", "", reason, "[SECTION] or KEY = VALUE")
+                parsed.add_error("", "", reason, "[SECTION] or KEY = VALUE")
                 lines[number - 1] = ""
-        if len(parsed.faults) >= MAX_ERRORS:
-            parsed.fault("", "", "too many errors to go on", "fewer errors")
-            return configparser.RawConfigParser(default_section=_NO_DEFAULT)
+        if len(parsed.found_errors) >= MAX_ERRORS:
+            parsed.add_error("", "", "too many errors to go on", "fewer errors")
+            return configparser.RawConfigParser(
+                default_section=_UNREACHABLE_DEFAULT
+            )
 
 
-def _read_kind(
+def _read_sections(
     section: Section,
-    found: list[_Found],
+    found: list[_RawSection],
     parsed: Parsed,
 ) -> None:
     if not found and section.required:
         header = f"{section.name} NAME" if section.named else section.name
-        parsed.fault(header, "", "missing", "at least one such section")
+        parsed.add_error(header, "", "missing", "at least one such section")
         return
     if not found and not section.named:
-        made = section.make(**{key.name: key.default for key in section.keys})
-        parsed.objects[section.name] = (made,)
+        instance = section.factory(
+            **{key.name: key.default for key in section.keys}
+        )
+        parsed.objects[section.name] = (instance,)
         return
-    parsed.names[section.name] = tuple(one.name for one in found)
+    parsed.names[section.name] = tuple(raw.name for raw in found)
     objects = []
-    for one in found:
-        before = len(parsed.faults)
-        if section.named and not re.fullmatch(section.name_pattern, one.name):
+    for raw in found:
+        before = len(parsed.found_errors)
+        if section.named and not re.fullmatch(section.name_pattern, raw.name):
             expected = f"a name that matches {section.name_pattern}"
-            parsed.fault(one.header, "", f"bad name {one.name!r}", expected)
-        values = _read_keys(section, one, parsed)
+            parsed.add_error(raw.header, "", f"bad name {raw.name!r}", expected)
+        values = _read_keys(section, raw, parsed)
         if section.named:
-            values["name"] = one.name
-        if len(parsed.faults) == before:
-            objects.append(section.make(**values))
+            values["name"] = raw.name
+        if len(parsed.found_errors) == before:
+            objects.append(section.factory(**values))
     parsed.objects[section.name] = tuple(objects)
 
 
 def _read_keys(
-    section: Section, found: _Found, parsed: Parsed
+    section: Section, raw: _RawSection, parsed: Parsed
 ) -> dict[str, Any]:
     values: dict[str, Any] = {}
     known = {key.name for key in section.keys}
-    for name in found.texts:
+    for name in raw.texts:
         if name not in known:
             expected = "one of " + ", ".join(key.name for key in section.keys)
-            parsed.fault(found.header, name, "unknown key", expected)
+            parsed.add_error(raw.header, name, "unknown key", expected)
     for key in section.keys:
-        if key.name not in found.texts:
+        if key.name not in raw.texts:
             if key.default is REQUIRED:
-                parsed.fault(found.header, key.name, "missing", key.expected)
+                parsed.add_error(raw.header, key.name, "missing", key.expected)
             values[key.name] = key.default
             continue
-        values[key.name] = key.convert(found.texts[key.name])
+        values[key.name] = key.convert(raw.texts[key.name])
         if values[key.name] is None:
-            reason = f"bad value {found.texts[key.name][:80]!r}"
-            parsed.fault(found.header, key.name, reason, key.expected)
+            reason = f"bad value {raw.texts[key.name][:80]!r}"
+            parsed.add_error(raw.header, key.name, reason, key.expected)
     return values
--- a/packages/bulrushgrade/bulrushgrade/publication.py
+++ b/packages/bulrushgrade/bulrushgrade/publication.py
@@ -22,8 +22,8 @@
 
 # Refused publishes by writers that do not own the service they name are kept
 # together, so that they can't push out an owner's verdicts.
-STRAY = ""
-MAX_STRAY_VERDICTS = 256
+UNOWNED = ""
+MAX_UNOWNED_VERDICTS = 256
 
 # Names and ids stand in the state for long; a record with longer ones was not
 # written by our publishers.
@@ -109,7 +109,7 @@
     """What the fold knows of one service.
 
     Attributes:
-        service: The service, or `STRAY`.
+        service: The service, or `UNOWNED`.
         accepted: The accepted revision, None while there is none.
         verdicts: The newest verdicts, oldest first.
     """
@@ -205,9 +205,9 @@
         (v.record_id, v.offset, v.service, v.team, v.base_offset, v.code)
         for v in state.verdicts
     ]
-    beaten = [v.beaten_by for v in state.verdicts]
-    plain = (state.service, state.accepted, verdicts, beaten)
-    return xxhash.xxh3_128_intdigest(_ENCODER.encode(plain))
+    replacements = [v.beaten_by for v in state.verdicts]
+    content = (state.service, state.accepted, verdicts, replacements)
+    return xxhash.xxh3_128_intdigest(_ENCODER.encode(content))
 
 
 def digest_states(digests: Iterable[int]) -> str:
--- a/packages/bulrushgrade/bulrushgrade/registry.py
+++ b/packages/bulrushgrade/bulrushgrade/registry.py
@@ -24,14 +24,16 @@
 from bulrushgrade import record
 
 
-class Skip(enum.Enum):
+class SkipReason(enum.Enum):
     """Why a record was no new publish."""
 
     STALE = "read before"
     AHEAD = "not the record that is to be read next"
     DUPLICATE = "second copy of a publish"
     UNREADABLE = "no message"
-    WAITING = "after a trimmed gap that no checkpoint has covered yet"
+    AWAITING_CHECKPOINT = (
+        "after a trimmed gap that no checkpoint has covered yet"
+    )
     CHECKPOINT = "part of a checkpoint, or one that brings nothing new"
     DIVERGED = "checkpoint of another state at the same offset"
     RESTORED = "checkpoint whose state was taken over"
@@ -48,18 +50,18 @@
     """
 
     offset: int
-    reason: Skip
+    reason: SkipReason
     detail: str = ""
 
 
-Outcome = publication.Verdict | Skipped | errors.UnjudgedRecord
+Outcome = publication.Verdict | Skipped | errors.UnsupportedRules
 
 
 class Registry:
     """Folds publishes into the accepted documents."""
 
     def __init__(
-        self, *, rules: Mapping[int, acceptance.Rules] = acceptance.RULES
+        self, *, rules: Mapping[int, acceptance.RuleSet] = acceptance.RULE_SETS
     ):
         """Makes the registry of an empty stream.
 
@@ -74,7 +76,7 @@
         self._scan_offset = 0
         self._changed_offset = -1
         self._restored = False
-        self._unjudged: errors.UnjudgedRecord | None = None
+        self._unsupported: errors.UnsupportedRules | None = None
         self._last_checkpoint: checkpoint.Collected | None = None
         self._collector = checkpoint.Collector()
 
@@ -98,30 +100,30 @@
     @property
     def fleet(self) -> fleet.FleetDocument | None:
         """The accepted fleet document."""
-        return self._catalog.scene.fleet_document
+        return self._catalog.accepted_state.fleet_document
 
     @property
     def documents(self) -> Mapping[str, document.ServiceDocument]:
         """The accepted service documents by service."""
-        return self._catalog.scene.documents
+        return self._catalog.accepted_state.documents
 
     @property
     def last_checkpoint(self) -> checkpoint.Collected | None:
         """The newest whole checkpoint that was read, without its states."""
         return self._last_checkpoint
 
-    def accepted(self, service: str) -> publication.Revision | None:
+    def accepted_revision(self, service: str) -> publication.Revision | None:
         """Returns a service's accepted revision; `document.FLEET` counts."""
         return self._catalog.state(service).accepted
 
     def history(self, service: str) -> tuple[publication.Verdict, ...]:
         """Returns the newest verdicts on a service's publishes, oldest first.
 
-        Publishes by teams that don't own it are under `publication.STRAY`.
+        Publishes by teams that don't own it are under `publication.UNOWNED`.
         """
         return self._catalog.state(service).verdicts
 
-    def outcome_of(self, record_id: str) -> publication.Verdict | None:
+    def find_verdict(self, record_id: str) -> publication.Verdict | None:
         """Returns the verdict on a publish, None where none is known.
 
         None settles nothing by itself: the record may not have been folded
@@ -147,7 +149,7 @@
         Returns:
             The offset up to which the stream is folded, or why not to begin.
         """
-        reason = self._find_lack(end_offset)
+        reason = self._find_not_ready_reason(end_offset)
         if not reason:
             return Success(self._next_offset)
         return Failure(
@@ -156,7 +158,7 @@
             )
         )
 
-    def note_earliest(self, earliest_offset: int) -> None:
+    def observe_earliest_offset(self, earliest_offset: int) -> None:
         """Takes the oldest offset that the log still holds, before a page.
 
         A stream that was trimmed past the reader may hold nothing more to
@@ -174,25 +176,27 @@
         """
         offset = record_.offset
         if offset < self.read_offset:
-            return Skipped(offset=offset, reason=Skip.STALE)
+            return Skipped(offset=offset, reason=SkipReason.STALE)
         if offset > self.read_offset:
-            return Skipped(offset=offset, reason=Skip.AHEAD)
+            return Skipped(offset=offset, reason=SkipReason.AHEAD)
         read = publication.parse_message(record_.body)
         message = read.value_or(None)
         outcome: Outcome
         if isinstance(message, publication.Checkpoint):
             outcome = self._apply_checkpoint(message, offset)
         elif self._gap_end is not None:
-            outcome = Skipped(offset=offset, reason=Skip.WAITING)
+            outcome = Skipped(
+                offset=offset, reason=SkipReason.AWAITING_CHECKPOINT
+            )
         elif isinstance(message, publication.Publish):
             outcome = self._apply_publish(message, record_)
         else:
             detail = read.failure().reason if isinstance(read, Failure) else ""
             outcome = Skipped(
-                offset=offset, reason=Skip.UNREADABLE, detail=detail
+                offset=offset, reason=SkipReason.UNREADABLE, detail=detail
             )
-        if not isinstance(outcome, errors.UnjudgedRecord):
-            self._pass(offset)
+        if not isinstance(outcome, errors.UnsupportedRules):
+            self._advance(offset)
         return outcome
 
     def snapshot(self) -> publication.Snapshot:
@@ -217,29 +221,29 @@
         """
         if snapshot.next_offset <= self._next_offset:
             return Success(self._next_offset)
-        taken = checkpoint.check_snapshot(snapshot).bind(
+        replaced = checkpoint.check_snapshot(snapshot).bind(
             lambda checked: self._catalog.replace(checked.states)
         )
-        if isinstance(taken, Failure):
-            return taken
+        if isinstance(replaced, Failure):
+            return replaced
         self._next_offset = snapshot.next_offset
         self._changed_offset = snapshot.next_offset - 1
         self._restored = True
-        self._unjudged = None
+        self._unsupported = None
         if self._gap_end is not None and self._gap_end <= self._next_offset:
             self._gap_end = None
         return Success(self._next_offset)
 
-    def _find_lack(self, end_offset: int | None) -> str:
+    def _find_not_ready_reason(self, end_offset: int | None) -> str:
         if self._gap_end is not None:
             return (
                 f"records {self._next_offset} to {self._gap_end - 1} are "
                 "trimmed and no checkpoint or peer has covered them yet"
             )
-        if self._unjudged is not None:
+        if self._unsupported is not None:
             return (
-                f"record {self._unjudged.offset} needs rules "
-                f"{self._unjudged.validation}, newer than this release"
+                f"record {self._unsupported.offset} needs rules "
+                f"{self._unsupported.validation}, newer than this release"
             )
         if end_offset is None:
             if self._restored:
@@ -248,7 +252,7 @@
         behind = end_offset - self._next_offset
         return f"{behind} records behind" if behind > 0 else ""
 
-    def _pass(self, offset: int) -> None:
+    def _advance(self, offset: int) -> None:
         if self._gap_end is not None:
             self._scan_offset = offset + 1
         elif offset == self._next_offset:
@@ -259,50 +263,54 @@
     ) -> Skipped:
         whole = self._collector.add(part, offset=offset)
         if whole is None:
-            return Skipped(offset=offset, reason=Skip.CHECKPOINT)
-        kept = attrs.evolve(whole.snapshot, states=())
-        self._last_checkpoint = attrs.evolve(whole, snapshot=kept)
+            return Skipped(offset=offset, reason=SkipReason.CHECKPOINT)
+        stripped = attrs.evolve(whole.snapshot, states=())
+        self._last_checkpoint = attrs.evolve(whole, snapshot=stripped)
         if self._gap_end is None:
-            return Skipped(offset=offset, reason=self._compare(whole.snapshot))
+            return Skipped(
+                offset=offset, reason=self._compare_digests(whole.snapshot)
+            )
         before = self._next_offset
         restored = self.restore_snapshot(whole.snapshot)
         if isinstance(restored, Failure):
             detail = restored.failure().reason
-            return Skipped(offset=offset, reason=Skip.DIVERGED, detail=detail)
-        taken = restored.unwrap() > before
-        reason = Skip.RESTORED if taken else Skip.CHECKPOINT
+            return Skipped(
+                offset=offset, reason=SkipReason.DIVERGED, detail=detail
+            )
+        advanced = restored.unwrap() > before
+        reason = SkipReason.RESTORED if advanced else SkipReason.CHECKPOINT
         return Skipped(offset=offset, reason=reason)
 
-    def _compare(self, snapshot: publication.Snapshot) -> Skip:
+    def _compare_digests(self, snapshot: publication.Snapshot) -> SkipReason:
         # Only where nothing has changed since can the states be compared. A
         # difference means that two releases judge differently or that a
         # host's memory is bad; it is told, and this fold goes on by its own
         # reading.
         unchanged = self._changed_offset < snapshot.next_offset
         if unchanged and snapshot.digest != self.digest():
-            return Skip.DIVERGED
-        return Skip.CHECKPOINT
+            return SkipReason.DIVERGED
+        return SkipReason.CHECKPOINT
 
     def _apply_publish(
         self, publish: publication.Publish, record_: record.Record
     ) -> Outcome:
         offset, record_id = record_.offset, record_.record_id
         if len(record_id) > publication.MAX_RECORD_ID_CHARS:
-            return Skipped(offset=offset, reason=Skip.UNREADABLE)
+            return Skipped(offset=offset, reason=SkipReason.UNREADABLE)
         if self._catalog.verdict(record_id) is not None:
             # A writer whose answer was lost appended again. Judging the copy
             # could turn a refusal that was already told into an acceptance.
-            return Skipped(offset=offset, reason=Skip.DUPLICATE)
-        judged = acceptance.judge(
+            return Skipped(offset=offset, reason=SkipReason.DUPLICATE)
+        evaluated = acceptance.evaluate(
             publish,
             record_id=record_id,
             offset=offset,
-            scene=self._catalog.scene,
+            accepted_state=self._catalog.accepted_state,
         )
-        if isinstance(judged, Failure):
-            self._unjudged = judged.failure()
-            return self._unjudged
-        self._unjudged = None
-        self._catalog.keep(publish, judged.unwrap())
+        if isinstance(evaluated, Failure):
+            self._unsupported = evaluated.failure()
+            return self._unsupported
+        self._unsupported = None
+        self._catalog.add_evaluation(publish, evaluated.unwrap())
         self._changed_offset = offset
-        return judged.unwrap().verdict
+        return evaluated.unwrap().verdict
--- a/packages/bulrushgrade/bulrushgrade/offering.py
+++ b/packages/bulrushgrade/bulrushgrade/serviceindex.py
@@ -10,17 +10,18 @@
 
 
 @attrs.frozen(kw_only=True)
-class Offering:
+class ServiceIndex:
     """The services that are in force.
 
     Attributes:
         services: Their documents by service name.
-        offers: The model services that offer a model or adapter, by its name.
+        services_by_model: The model services that offer a model or adapter, by
+            its name.
         capacity_token_s_per_s: What the whole fleet can hold in work.
     """
 
     services: dict[str, document.ServiceDocument]
-    offers: dict[str, tuple[document.ServiceDocument, ...]]
+    services_by_model: dict[str, tuple[document.ServiceDocument, ...]]
     capacity_token_s_per_s: float
 
     def find_model_services(
@@ -34,7 +35,7 @@
         service = self.services.get(name)
         if service is not None and service.kind == "model":
             return (service,)
-        return self.offers.get(name, ())
+        return self.services_by_model.get(name, ())
 
     def find_plain_service(self, name: str) -> document.ServiceDocument | None:
         """Returns the plain service of this name, or None."""
@@ -51,26 +52,31 @@
         )
 
 
-def make_offering(
+def build_service_index(
     services: Iterable[document.ServiceDocument],
     fleet_document: fleet.FleetDocument | None,
-) -> Offering:
-    """Returns the offering of some accepted documents.
+) -> ServiceIndex:
+    """Returns the service_index of some accepted documents.
 
     Args:
         services: The accepted service documents.
         fleet_document: The accepted fleet document, if there is one.
     """
-    by_name = {service.service: service for service in services}
-    offers: dict[str, tuple[document.ServiceDocument, ...]] = {}
-    for service in by_name.values():
-        for name in _offered(service):
-            offers[name] = (*offers.get(name, ()), service)
+    services_by_name = {service.service: service for service in services}
+    services_by_model: dict[str, tuple[document.ServiceDocument, ...]] = {}
+    for service in services_by_name.values():
+        for name in _list_models(service):
+            services_by_model[name] = (
+                *services_by_model.get(name, ()),
+                service,
+            )
     capacity = 0.0
     if fleet_document is not None:
         capacity = fleet_document.capacity_token_s_per_s
-    return Offering(
-        services=by_name, offers=offers, capacity_token_s_per_s=capacity
+    return ServiceIndex(
+        services=services_by_name,
+        services_by_model=services_by_model,
+        capacity_token_s_per_s=capacity,
     )
 
 
@@ -81,10 +87,10 @@
         service: The service's document.
         name: What the request calls it: the service, a model or an adapter.
     """
-    return name if name in _offered(service) else service.models[0].name
+    return name if name in _list_models(service) else service.models[0].name
 
 
-def _offered(service: document.ServiceDocument) -> tuple[str, ...]:
+def _list_models(service: document.ServiceDocument) -> tuple[str, ...]:
     names = [model.name for model in service.models]
     for model in service.models:
         names.extend(model.adapters)
--- a/packages/bulrushgrade/bulrushgrade/demand.py
+++ b/packages/bulrushgrade/bulrushgrade/servicespec.py
@@ -70,7 +70,7 @@
     header: str | None = None
 
     @property
-    def unconditional(self) -> bool:
+    def is_unconditional(self) -> bool:
         """Whether every request belongs to the class."""
         conditions = (self.max_prompt_tokens, self.max_answer_tokens)
         return conditions == (None, None) and self.header is None
@@ -188,12 +188,12 @@
     Returns:
         The route, or None where none matches.
     """
-    plain = "/" + path.strip("/").lower()
+    normalized = "/" + path.strip("/").lower()
     matching = [
         route
         for route in routes
         if route.method in ("*", method.upper())
-        and _compile(route.path.lower()).fullmatch(plain)
+        and _compile_path(route.path.lower()).fullmatch(normalized)
     ]
     for route in matching:
         if not route.repeatable:
@@ -214,7 +214,7 @@
     return route is not None and route.repeatable
 
 
-def classify(
+def find_deadline_class(
     deadlines: tuple[DeadlineClass, ...],
     *,
     prompt_tokens: int = 0,
@@ -230,12 +230,12 @@
         headers: Request headers by lower-case name.
     """
     for deadline in deadlines[:-1]:
-        if _meets(deadline, prompt_tokens, answer_tokens, headers):
+        if _matches_conditions(deadline, prompt_tokens, answer_tokens, headers):
             return deadline
     return deadlines[-1]
 
 
-def _meets(
+def _matches_conditions(
     deadline: DeadlineClass,
     prompt_tokens: int,
     answer_tokens: int,
@@ -255,6 +255,6 @@
 
 # Bounded: paths of documents that were replaced long ago may not pile up.
 @functools.lru_cache(maxsize=4096)
-def _compile(path: str) -> re.Pattern[str]:
+def _compile_path(path: str) -> re.Pattern[str]:
     pattern = re.escape(path).replace(r"/\*\*", "(/.*)?")
     return re.compile(pattern.replace(r"\*", "[^/]+"))
--- a/packages/bulrushgrade/tests/test_checkpoint.py
+++ b/packages/bulrushgrade/tests/test_checkpoint.py
@@ -21,7 +21,7 @@
 
 
 def _due(schedule, now, *, next_offset=20, earliest=0, hosts=HOSTS):
-    return schedule.find_due(
+    return schedule.find_due_reason(
         now=now,
         hosts=hosts,
         next_offset=next_offset,
@@ -36,7 +36,7 @@
     ]
 
 
-def test_parts_come_together_in_any_order_and_doubled():
+def test_collector_joins_reordered_and_duplicate_parts():
     states = tuple(publication.ServiceState(service=f"s{n}") for n in range(10))
     digests = map(publication.digest_state, states)
     snapshot = publication.Snapshot(
@@ -60,7 +60,7 @@
     assert checkpoint.check_snapshot(found[-1].snapshot).unwrap() == snapshot
 
 
-def test_unfinished_checkpoints_do_not_pile_up():
+def test_incomplete_checkpoints_are_bounded():
     collector = checkpoint.Collector()
 
     def add(name, number):
@@ -76,7 +76,7 @@
             offset=0,
         )
 
-    for n in range(checkpoint.MAX_COLLECTED + 1):
+    for n in range(checkpoint.MAX_INCOMPLETE + 1):
         assert add(f"c{n}", 0) is None
     assert add("c0", 1) is None
     assert add("c4", 1) is not None
@@ -88,13 +88,13 @@
     while now < until:
         for whole in [w for at, w in arriving if at <= now]:
             for schedule in schedules:
-                schedule.note_checkpoint(whole, now=now, fresh=True)
+                schedule.observe_checkpoint(whole, now=now, fresh=True)
         arriving = [(at, w) for at, w in arriving if at > now]
         for host, schedule in zip(HOSTS, schedules, strict=True):
             reason = _due(schedule, now, next_offset=offset)
             if host in dead or reason is None:
                 continue
-            schedule.note_append(now)
+            schedule.record_append(now)
             appended.append((now, host, reason))
             arriving.append((now + lag_s, _whole(offset)))
             offset += 1
@@ -102,7 +102,7 @@
     return appended
 
 
-def test_one_daemon_appends_a_third_of_the_retention_apart():
+def test_one_daemon_appends_per_third_of_retention():
     appended = _run(_schedules(), until=2.5 * RETENTION_S)
     assert [reason for _, _, reason in appended] == [
         "no checkpoint is known",
@@ -115,7 +115,7 @@
     assert len({host for _, host, _ in appended}) > 3
 
 
-def test_the_next_in_turn_steps_in_for_a_dead_daemon():
+def test_next_in_order_replaces_dead_daemon():
     # Story: the daemon whose turn it is was killed and the host list still
     # has it. Without a next turn the last checkpoint would be trimmed, and
     # every daemon that starts later would never become ready. Two turns of
@@ -125,47 +125,47 @@
     assert [(at, host) for at, host, _ in appended] == [(25.0, order[2])]
 
 
-def test_a_daemon_that_can_not_read_its_own_does_not_flood_the_log():
+def test_daemon_that_cannot_read_its_checkpoint_limits_appends():
     appended = _run(_schedules(), until=600.0, lag_s=1e9)
     for host in HOSTS:
         times = [at for at, found, _ in appended if found == host]
         gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
-        assert min(gaps) >= checkpoint.MIN_PERIOD_S
+        assert min(gaps) >= checkpoint.MIN_APPEND_INTERVAL_S
 
 
-def test_a_restarted_daemon_takes_its_peers_word_for_the_age():
+def test_restarted_daemon_takes_checkpoint_age_from_peer():
     schedule = checkpoint.Schedule(
         address=HOSTS[0], retention_s=RETENTION_S, now=0.0
     )
     peer = checkpoint.Schedule(
         address=HOSTS[1], retention_s=RETENTION_S, now=-100.0
     )
-    peer.note_checkpoint(_whole(5), now=-98.0, fresh=True)
-    schedule.note_checkpoint(_whole(4), now=0.0, fresh=False)
-    assert schedule.tell_age(1.0) is None
+    peer.observe_checkpoint(_whole(5), now=-98.0, fresh=True)
+    schedule.observe_checkpoint(_whole(4), now=0.0, fresh=False)
+    assert schedule.report_age(1.0) is None
     assert _due(schedule, 1.0) is None
-    schedule.note_age(peer.tell_age(2.0), now=2.0)
-    assert schedule.tell_age(3.0) == publication.CheckpointAge(
+    schedule.observe_peer_age(peer.report_age(2.0), now=2.0)
+    assert schedule.report_age(3.0) == publication.CheckpointAge(
         first_offset=5, next_offset=5, age_s=101.0
     )
     old = publication.CheckpointAge(first_offset=4, next_offset=4, age_s=9e9)
-    schedule.note_age(old, now=4.0)
+    schedule.observe_peer_age(old, now=4.0)
     assert _due(schedule, 1000.0) is None
     assert _due(schedule, 1200.0) is None  # Its turn may be a later one.
     assert _due(schedule, 1250.0) == "the last checkpoint is old"
 
 
-def test_after_a_full_restart_an_unknown_age_counts_as_old():
+def test_unknown_age_counts_as_old_after_full_restart():
     schedules = _schedules()
     for schedule in schedules:
-        schedule.note_checkpoint(_whole(5), now=0.0, fresh=False)
+        schedule.observe_checkpoint(_whole(5), now=0.0, fresh=False)
     appended = _run(schedules, until=300.0)
     assert [(at, reason) for at, _, reason in appended] == [
-        (checkpoint.GRACE_S, "the last checkpoint may be old")
+        (checkpoint.STARTUP_GRACE_S, "the last checkpoint may be old")
     ]
 
 
-def test_a_trimmed_checkpoint_and_a_long_tail_are_due():
+def test_trimmed_checkpoint_and_many_records_are_due():
     # A state up to 4 is of no use once record 4 is gone, though the parts that
     # hold it, from 6 on, are still there.
     for options, reason in (
@@ -178,5 +178,5 @@
             address="a", retention_s=RETENTION_S, now=0.0
         )
         whole = _whole(6, next_offset=4)
-        schedule.note_checkpoint(whole, now=0.0, fresh=True)
+        schedule.observe_checkpoint(whole, now=0.0, fresh=True)
         assert _due(schedule, 1.0, hosts=["a"], **options) == reason
--- a/packages/bulrushgrade/tests/test_codec.py
+++ b/packages/bulrushgrade/tests/test_codec.py
@@ -12,14 +12,14 @@
     number: int
 
 
-def test_a_message_comes_back_equal():
+def test_message_round_trips():
     codec_ = codec.Codec(kinds=[_Ping])
     raw = codec_.serialize(_Ping(number=3))
     assert raw == b'{"kind":"_Ping","data":{"number":3}}'
     assert codec_.parse(raw) == Success(_Ping(number=3))
 
 
-def test_damaged_and_unknown_are_values():
+def test_malformed_and_unknown_messages_return_failure():
     codec_ = codec.Codec(kinds=[_Ping])
     for raw in (
         b"{",
--- a/packages/bulrushgrade/tests/test_document.py
+++ b/packages/bulrushgrade/tests/test_document.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies
 from returns.result import Success
 
-from bulrushgrade import demand
 from bulrushgrade import document
+from bulrushgrade import servicespec
 
 PLAIN = """
 [document]
@@ -23,12 +23,12 @@
 """
 
 
-def _faults(text):
+def _error_keys(text):
     found = document.parse_document(text, source="x.ini").failure()
     return {(fault.section, fault.key) for fault in found}
 
 
-def test_a_small_document_is_read_with_defaults():
+def test_minimal_document_gets_defaults():
     read = document.parse_document(PLAIN, source="x.ini").unwrap()
     assert (read.service, read.team, read.kind) == (
         "booking-ledger",
@@ -39,7 +39,7 @@
     assert read.share.fraction_of(100.0) == 0.0
 
 
-def test_an_unknown_format_says_which_is_known():
+def test_unknown_format_error_lists_supported_range():
     text = PLAIN.replace("format = 1", "format = 2")
     (fault,) = document.parse_document(text, source="x.ini").failure()
     assert str(fault) == (
@@ -48,7 +48,7 @@
     )
 
 
-def test_every_fault_is_named_at_once():
+def test_all_errors_are_reported_together():
     text = """
 stray = 1
 [document]
@@ -81,7 +81,7 @@
 [DEFAULT]
 x = 1
 """
-    assert _faults(text) == {
+    assert _error_keys(text) == {
         ("", ""),
         ("document", "format"),
         ("document", "team"),
@@ -98,9 +98,9 @@
     }
 
 
-def test_rules_across_sections():
+def test_cross_section_rules():
     model = PLAIN.replace("plain", "model")
-    assert _faults(model) == {
+    assert _error_keys(model) == {
         ("model NAME", ""),
         ("share", "guaranteed_token_s_per_s or guaranteed_fraction"),
         ("deadline any", "first_token_s"),
@@ -111,7 +111,7 @@
         "[route", "first_token_s = 9\n[deadline more]\nwhole_answer_s = 1\n"
         "header = X-Kind: slow\n[model m]\nversion = 1\n[route"
     )  # fmt: skip
-    assert _faults(text) == {
+    assert _error_keys(text) == {
         ("document", "service"),
         ("model m", ""),
         ("deadline any", "first_token_s"),
@@ -121,8 +121,8 @@
     }
 
 
-def test_a_long_or_hostile_text_costs_little():
-    assert _faults("x" * (document.MAX_BYTES + 1)) == {("", "")}
+def test_oversized_or_malicious_text_is_bounded():
+    assert _error_keys("x" * (document.MAX_BYTES + 1)) == {("", "")}
     found = document.parse_document("[a]\n" * 9000, source="x").failure()
     assert len(found) < 60
 
@@ -130,7 +130,7 @@
 @hypothesis.given(
     text=strategies.text(alphabet="[]a= \n\0\r#;%:é", max_size=80)
 )
-def test_no_text_raises(text):
+def test_arbitrary_text_does_not_raise(text):
     document.parse_document(text, source="x")
     document.parse_document(PLAIN + text, source="x")
 
@@ -141,7 +141,7 @@
 
 @strategies.composite
 def _documents(draw):
-    deadline = demand.DeadlineClass(
+    deadline = servicespec.DeadlineClass(
         name="rest",
         whole_answer_s=60.0 + draw(_SECONDS),
         first_token_s=draw(_SECONDS),
@@ -149,14 +149,16 @@
     )
     names = draw(strategies.lists(_NAMES, unique=True, max_size=3))
     return document.ServiceDocument(
-        heading=demand.Heading(
+        heading=servicespec.Heading(
             format=1, service="s", team=draw(_NAMES), kind="model"
         ),
         models=(
-            demand.ModelUse(name="M/1", version="2", adapters=tuple(names)),
+            servicespec.ModelUse(
+                name="M/1", version="2", adapters=tuple(names)
+            ),
         ),
         deadlines=(
-            demand.DeadlineClass(
+            servicespec.DeadlineClass(
                 name="chat",
                 whole_answer_s=120.0,
                 first_token_s=draw(_SECONDS),
@@ -166,12 +168,12 @@
             ),
             deadline,
         ),
-        share=demand.Share(
+        share=servicespec.Share(
             guaranteed_token_s_per_s=draw(strategies.floats(0, 1e12)),
             borrow=draw(strategies.booleans()),
         ),
         routes=tuple(
-            demand.Route(
+            servicespec.Route(
                 name=name,
                 method="*",
                 path="/a/*/**",
@@ -184,6 +186,6 @@
 
 
 @hypothesis.given(made=_documents())
-def test_serialized_documents_are_read_back_equal(made):
+def test_serialized_document_round_trips(made):
     text = document.serialize_document(made)
     assert document.parse_document(text, source="x") == Success(made)
--- a/packages/bulrushgrade/tests/test_examples.py
+++ b/packages/bulrushgrade/tests/test_examples.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from bulrushgrade import demand
 from bulrushgrade import document
 from bulrushgrade import fleet
 from bulrushgrade import publication
 from bulrushgrade import record
 from bulrushgrade import registry
+from bulrushgrade import servicespec
 
 ROOT = pathlib.Path(__file__).parents[3]
 EXAMPLES = ROOT / "examples" / "documents"
@@ -45,7 +45,7 @@
             team=read(text, source=name).unwrap().team,
             base_offset=None,
             text=text,
-            validation=document.VALIDATION,
+            validation=document.LATEST_VALIDATION,
         )
         body = publication.CODEC.serialize(made)
         outcome = fold.apply(
@@ -69,7 +69,7 @@
 )
 def test_what_may_run_twice(service, method, path, repeatable):
     routes = _read(service).routes
-    found = demand.is_repeatable(routes, method=method, path=path)
+    found = servicespec.is_repeatable(routes, method=method, path=path)
     assert found is repeatable
 
 
--- a/packages/bulrushgrade/tests/test_fleet.py
+++ b/packages/bulrushgrade/tests/test_fleet.py
@@ -2,8 +2,8 @@
 
 from returns.result import Success
 
-from bulrushgrade import demand
 from bulrushgrade import fleet
+from bulrushgrade import servicespec
 
 TEXT = """
 [fleet]
@@ -22,7 +22,7 @@
 """
 
 
-def test_a_fleet_is_read_and_written_back_equal():
+def test_fleet_document_round_trips():
     read = fleet.parse_fleet(TEXT, source="x").unwrap()
     assert read.owners == {
         "booking-ledger": "office",
@@ -33,7 +33,7 @@
     assert fleet.parse_fleet(text, source="x") == Success(read)
 
 
-def test_names_have_to_be_known_and_stand_once():
+def test_names_must_be_known_and_unique():
     text = TEXT.replace("team = office", "team = nobody")
     text = text.replace("[team growers]", "[team growers]\nservices=fleet")
     text = text.replace("zone = metter-hall", "zone = claxton-hall")
@@ -47,9 +47,9 @@
     }
 
 
-def test_shares_fit_up_to_the_whole_fleet():
-    tenths = [demand.Share(guaranteed_fraction=0.1)] * 9
-    shares = [*tenths, demand.Share(guaranteed_token_s_per_s=100.0)]
+def test_shares_fit_up_to_full_capacity():
+    tenths = [servicespec.Share(guaranteed_fraction=0.1)] * 9
+    shares = [*tenths, servicespec.Share(guaranteed_token_s_per_s=100.0)]
     for capacity, whole in ((1000.0, True), (999.0, False), (0.0, False)):
         parts = [share.fraction_of(capacity) for share in shares]
-        assert fleet.fits(parts) is whole
+        assert fleet.fractions_fit(parts) is whole
--- a/packages/bulrushgrade/tests/test_registry.py
+++ b/packages/bulrushgrade/tests/test_registry.py
@@ -95,7 +95,7 @@
         outcomes, before = [], None
         while before != fold.read_offset:
             before = fold.read_offset
-            fold.note_earliest(self.earliest)
+            fold.observe_earliest_offset(self.earliest)
             start = fold.read_offset
             outcomes += [fold.apply(r) for r in self.records[start : start + 3]]
         return outcomes
@@ -114,7 +114,7 @@
     return log, fold, _codes(log.read(fold))
 
 
-def test_a_race_has_one_winner_and_the_loser_is_told():
+def test_concurrent_publishes_accept_only_the_first():
     # Story: two operators edit the same revision; the second publish would
     # undo the first without its author having seen it. The base that each
     # names decides: the first in offset order wins.
@@ -122,12 +122,12 @@
         FLEET, desk(), desk(base=1, share=200), desk(base=1, share=300)
     )
     assert codes == ["accepted"] * 3 + ["base_replaced"]
-    assert fold.accepted("desk").offset == 2
-    assert fold.outcome_of("r3").beaten_by == 2
+    assert fold.accepted_revision("desk").offset == 2
+    assert fold.find_verdict("r3").beaten_by == 2
     assert fold.documents["desk"].share.guaranteed_token_s_per_s == 200
 
 
-def test_refusals_change_nothing():
+def test_refused_publishes_change_nothing():
     _, fold, codes = _fold(
         desk(),
         FLEET,
@@ -152,13 +152,13 @@
         "format_not_enabled",
         "shares_do_not_fit",
         "wrong_team",
-        *[registry.Skip.UNREADABLE] * 3,
+        *[registry.SkipReason.UNREADABLE] * 3,
     ]
     assert not fold.documents
-    assert "[document] kind: bad value 'x'" in fold.outcome_of("r5").message
+    assert "[document] kind: bad value 'x'" in fold.find_verdict("r5").message
 
 
-def test_a_fleet_stays_large_enough_for_what_it_guaranteed():
+def test_fleet_document_must_cover_accepted_services():
     _, fold, codes = _fold(
         FLEET,
         desk(share=900),
@@ -179,18 +179,18 @@
     ]
 
 
-def test_a_second_copy_of_a_refused_publish_stays_refused():
+def test_duplicate_of_refused_publish_is_not_reevaluated():
     # Story: a publish is refused for want of room and its author is told so.
     # The log had stored it twice; in between room was made. The copy would
     # come into force although its author has turned to something else.
     log, fold, _ = _fold(FLEET, desk(share=2000))
     log.append(publish("fleet", fleet_text(capacity=3000), base=0))
     log.append(desk(share=2000), record_id="r1")
-    assert _codes(log.read(fold)) == ["accepted", registry.Skip.DUPLICATE]
-    assert fold.outcome_of("r1").code == "shares_do_not_fit"
+    assert _codes(log.read(fold)) == ["accepted", registry.SkipReason.DUPLICATE]
+    assert fold.find_verdict("r1").code == "shares_do_not_fit"
 
 
-def test_a_trimmed_gap_is_told_and_closed_by_a_checkpoint_only():
+def test_trimmed_gap_is_reported_until_checkpoint_covers_it():
     log, fold, _ = _fold(FLEET, desk())
     log.append(desk(base=1, share=200))
     log.checkpoint(fold)
@@ -204,7 +204,7 @@
         "records 2 to 2 are trimmed"
         in fresh.readiness(len(log.records)).failure().reason
     )
-    assert fresh.accepted("desk").offset == 1
+    assert fresh.accepted_revision("desk").offset == 1
     log.checkpoint(fold, "d")
     log.append(desk(base=4, share=400))
     log.read(fresh)
@@ -213,7 +213,7 @@
     assert fresh.snapshot() == fold.snapshot()
 
 
-def test_records_between_a_state_and_its_checkpoint_are_not_lost():
+def test_restore_rereads_records_before_checkpoint_parts():
     log, fold, _ = _fold(FLEET, desk())
     log.append(desk(base=1, share=200), desk(base=1, share=300))
     log.checkpoint(fold)
@@ -221,12 +221,12 @@
     fresh = registry.Registry()
     codes = _codes(log.read(fresh))
     log.read(fold)
-    assert codes.count(registry.Skip.RESTORED) == 1
+    assert codes.count(registry.SkipReason.RESTORED) == 1
     assert fresh.snapshot() == fold.snapshot()
-    assert fresh.accepted("desk").offset == 2
+    assert fresh.accepted_revision("desk").offset == 2
 
 
-def test_snapshots_never_take_a_fold_back():
+def test_snapshot_never_rolls_back_registry():
     log, fold, _ = _fold(FLEET, desk())
     old = fold.snapshot()
     log.append(desk(base=1, share=200))
@@ -238,10 +238,10 @@
     assert isinstance(fold.restore_snapshot(forged), Failure)
     damaged = publication.Snapshot(next_offset=9, digest="0", states=())
     assert isinstance(fold.restore_snapshot(damaged), Failure)
-    assert fold.accepted("desk").offset == 2
+    assert fold.accepted_revision("desk").offset == 2
 
 
-def test_a_snapshot_heard_while_serving_parses_only_what_is_new():
+def test_snapshot_restore_parses_only_changed_documents():
     # Story: a daemon that serves is one record behind and hears a snapshot.
     # With some hundred documents parsed anew its callers would wait for a
     # third of a second.
@@ -258,7 +258,7 @@
     assert fold.documents["desk"] == other.documents["desk"]
 
 
-def test_a_daemon_starts_from_a_peer_while_the_log_is_away():
+def test_daemon_starts_from_peer_snapshot_while_log_is_unreachable():
     _, fold, _ = _fold(FLEET, desk())
     fresh = registry.Registry()
     sent = publication.CODEC.serialize(fold.snapshot())
@@ -268,7 +268,7 @@
     assert fresh.digest() == fold.digest()
 
 
-def test_an_older_release_stops_at_rules_it_lacks_and_serves_on():
+def test_older_release_stops_at_unsupported_rules_and_keeps_state():
     log = _Log()
     log.append(
         FLEET,
@@ -279,48 +279,50 @@
         desk(base=4, share=400),
     )
     old = registry.Registry()
-    new = registry.Registry(rules={**acceptance.RULES, 2: acceptance.RULES[1]})
+    new = registry.Registry(
+        rules={**acceptance.RULE_SETS, 2: acceptance.RULE_SETS[1]}
+    )
     outcomes = log.read(old)
     log.read(new)
     assert outcomes[-2:] == [
-        errors.UnjudgedRecord(offset=4, validation=2),
-        registry.Skipped(offset=5, reason=registry.Skip.AHEAD),
+        errors.UnsupportedRules(offset=4, validation=2),
+        registry.Skipped(offset=5, reason=registry.SkipReason.AHEAD),
     ]
     assert outcomes[2].code == "format_not_enabled"
-    assert old.accepted("desk").offset == 1
+    assert old.accepted_revision("desk").offset == 1
     assert (
         "newer than this release"
         in old.readiness(len(log.records)).failure().reason
     )
-    assert new.accepted("desk").offset == 5
+    assert new.accepted_revision("desk").offset == 5
 
 
-def test_strangers_do_not_push_out_an_owners_outcomes():
+def test_unowned_publishes_do_not_evict_owner_verdicts():
     log, fold, _ = _fold(FLEET, desk())
-    many = publication.MAX_STRAY_VERDICTS + 5
+    many = publication.MAX_UNOWNED_VERDICTS + 5
     log.append(*[desk(team="growers")] * many)
     log.read(fold)
-    assert fold.outcome_of("r1").accepted
-    assert len(fold.history(publication.STRAY)) == many - 5
+    assert fold.find_verdict("r1").accepted
+    assert len(fold.history(publication.UNOWNED)) == many - 5
     log.append(*[desk()] * 40)
     log.read(fold)
     assert len(fold.history("desk")) == publication.MAX_VERDICTS
-    assert fold.accepted("desk").offset == 1
+    assert fold.accepted_revision("desk").offset == 1
 
 
-def test_a_checkpoint_of_another_state_is_told():
+def test_checkpoint_with_different_digest_is_reported():
     log, fold, _ = _fold(FLEET, desk())
     _, other, _ = _fold(FLEET, desk(share=7))
     log.checkpoint(fold)
     log.checkpoint(other, "d")
     assert _codes(log.read(fold)) == [
-        registry.Skip.CHECKPOINT,
-        registry.Skip.DIVERGED,
+        registry.SkipReason.CHECKPOINT,
+        registry.SkipReason.DIVERGED,
     ]
 
 
 @hypothesis.given(body=strategies.binary(max_size=60))
-def test_no_body_raises(body):
+def test_arbitrary_record_body_does_not_raise(body):
     fold = registry.Registry()
     fold.apply(record.Record(offset=0, record_id="a", body=body))
     assert fold.next_offset == 1
--- a/packages/bulrushgrade/tests/test_registry_machine.py
+++ b/packages/bulrushgrade/tests/test_registry_machine.py
@@ -54,25 +54,27 @@
 
     def __init__(self):
         super().__init__()
-        self.records, self.earliest, self.away = [], 0, False
+        self.records, self.earliest, self.log_unreachable = [], 0, False
         self.ids = 0
         self.unsettled = {}
-        self.told = {}
+        self.verdicts = {}
         self.parts = []
-        self.winners = set()
+        self.accepted_bases = set()
         # Reads every record at once, before any is trimmed.
-        self.truth = registry.Registry()
+        self.reference = registry.Registry()
         self.states = [self._state()]
         self.readers = [registry.Registry() for _ in range(READERS)]
         self.highest = [{} for _ in range(READERS)]
-        self.saved = [self.truth.snapshot()]
+        self.saved = [self.reference.snapshot()]
         self._append(*self._make("fleet", "office", None, 0.0))
-        assert self.truth.fleet is not None
+        assert self.reference.fleet is not None
 
     def _state(self):
         names = ("fleet", *OWNERS)
-        accepted = {name: self.truth.accepted(name) for name in names}
-        return self.truth.digest(), accepted
+        accepted = {
+            name: self.reference.accepted_revision(name) for name in names
+        }
+        return self.reference.digest(), accepted
 
     def _make(self, service, team, base, share):
         self.ids += 1
@@ -91,7 +93,7 @@
         return f"p{self.ids}", body
 
     def _base(self, service, reader):
-        seen = self.readers[reader].accepted(service)
+        seen = self.readers[reader].accepted_revision(service)
         return seen.offset if seen else None
 
     def _append(self, record_id, body):
@@ -99,7 +101,7 @@
         made = record.Record(offset=offset, record_id=record_id, body=body)
         self.records.append(made)
         before = self.states[-1][1]
-        outcome = self.truth.apply(made)
+        outcome = self.reference.apply(made)
         self.states.append(self._state())
         if isinstance(outcome, publication.Verdict):
             self._check_verdict(outcome, before)
@@ -107,53 +109,57 @@
             assert self.states[-1] == self.states[-2]
 
     def _check_verdict(self, verdict, before):
-        assert self.told.setdefault(verdict.record_id, verdict) == verdict
+        assert self.verdicts.setdefault(verdict.record_id, verdict) == verdict
         after = self.states[-1][1]
         changed = {name for name in after if after[name] != before[name]}
         assert changed == ({verdict.service} if verdict.accepted else set())
         if not verdict.accepted:
             return
         race = (verdict.service, verdict.base_offset)
-        assert race not in self.winners
-        self.winners.add(race)
+        assert race not in self.accepted_bases
+        self.accepted_bases.add(race)
         assert verdict.team == OWNERS.get(verdict.service, "office")
-        documents = self.truth.documents.values()
+        documents = self.reference.documents.values()
         shares = [d.share.guaranteed_token_s_per_s for d in documents]
         assert sum(shares) <= CAPACITY
 
-    @stateful.precondition(lambda self: not self.away)
+    @stateful.precondition(lambda self: not self.log_unreachable)
     @stateful.rule(
         service=strategies.sampled_from(sorted(OWNERS)),
         share=strategies.sampled_from([0.0, 30.0, 50.0]),
         seen_by=strategies.integers(0, READERS - 1),
-        fate=strategies.sampled_from(["stored", "answer lost", "lost", "two"]),
+        delivery=strategies.sampled_from(
+            ["stored", "answer lost", "lost", "two"]
+        ),
     )
-    def publish(self, service, share, seen_by, fate):
+    def publish(self, service, share, seen_by, delivery):
         """An operator edits what one reader, perhaps lagging, has."""
         team = OWNERS[service]
         record_id, body = self._make(
             service, team, self._base(service, seen_by), share
         )
-        for _ in range({"lost": 0, "two": 2}.get(fate, 1)):
+        for _ in range({"lost": 0, "two": 2}.get(delivery, 1)):
             self._append(record_id, body)
-        if fate in ("lost", "answer lost"):
+        if delivery in ("lost", "answer lost"):
             self.unsettled[record_id] = body
 
-    @stateful.precondition(lambda self: not self.away)
+    @stateful.precondition(lambda self: not self.log_unreachable)
     @stateful.rule(
         service=strategies.sampled_from(sorted(OWNERS)),
         team=strategies.sampled_from(["office", "growers"]),
         share=strategies.sampled_from([30.0, 101.0]),
         garbage=strategies.sampled_from([b"", b"{}", b'{"kind":[]}']),
     )
-    def publish_badly(self, service, team, share, garbage):
+    def publish_invalid(self, service, team, share, garbage):
         """A greedy document, perhaps of a stranger, and a damaged record."""
         base = self._base(service, 0)
         self._append(*self._make(service, team, base, share))
         self.ids += 1
         self._append(f"p{self.ids}", garbage)
 
-    @stateful.precondition(lambda self: self.unsettled and not self.away)
+    @stateful.precondition(
+        lambda self: self.unsettled and not self.log_unreachable
+    )
     @stateful.rule(data=strategies.data())
     def append_again(self, data):
         """A publisher without an answer sends the same record id again."""
@@ -162,22 +168,22 @@
         self._append(record_id, self.unsettled[record_id])
 
     @stateful.rule()
-    def change_log_state(self):
-        self.away = not self.away
+    def toggle_log(self):
+        self.log_unreachable = not self.log_unreachable
 
-    @stateful.precondition(lambda self: not self.away)
+    @stateful.precondition(lambda self: not self.log_unreachable)
     @stateful.rule(
         reader=strategies.integers(0, READERS - 1),
         limit=strategies.integers(1, 8),
     )
     def read(self, reader, limit):
         fold = self.readers[reader]
-        fold.note_earliest(self.earliest)
+        fold.observe_earliest_offset(self.earliest)
         start = fold.read_offset
         for record_ in self.records[start : start + limit]:
             fold.apply(record_)
 
-    @stateful.precondition(lambda self: not self.away)
+    @stateful.precondition(lambda self: not self.log_unreachable)
     @stateful.rule(reader=strategies.integers(0, READERS - 1))
     def begin_checkpoint(self, reader):
         """Takes the place of one whose appender died midway."""
@@ -193,7 +199,7 @@
             )
             self.parts = list(bodies)
 
-    @stateful.precondition(lambda self: self.parts and not self.away)
+    @stateful.precondition(lambda self: self.parts and not self.log_unreachable)
     @stateful.rule(
         count=strategies.integers(1, 5),
         service=strategies.sampled_from(sorted(OWNERS)),
@@ -201,7 +207,7 @@
     )
     def append_parts(self, count, service, share):
         """A change comes between the state and its checkpoint's parts."""
-        seen = self.truth.accepted(service)
+        seen = self.reference.accepted_revision(service)
         base = seen.offset if seen else None
         self._append(*self._make(service, OWNERS[service], base, share))
         for body in self.parts[:count]:
@@ -213,10 +219,12 @@
     def trim(self, kept):
         self.earliest = max(self.earliest, len(self.records) - kept)
 
-    @stateful.precondition(lambda self: self.truth.last_checkpoint is not None)
+    @stateful.precondition(
+        lambda self: self.reference.last_checkpoint is not None
+    )
     @stateful.rule()
     def trim_to_checkpoint(self):
-        first = self.truth.last_checkpoint.snapshot.next_offset
+        first = self.reference.last_checkpoint.snapshot.next_offset
         self.earliest = max(self.earliest, first)
 
     @stateful.rule(reader=strategies.integers(0, READERS - 1))
@@ -230,22 +238,22 @@
         """A new host gets a snapshot that may be older than the log."""
         self.readers[reader] = registry.Registry()
         self.highest[reader] = {}
-        self.hear(reader, data)
+        self.restore_snapshot_from_peer(reader, data)
 
     @stateful.rule(
         reader=strategies.integers(0, READERS - 1), data=strategies.data()
     )
-    def hear(self, reader, data):
+    def restore_snapshot_from_peer(self, reader, data):
         """A peer's snapshot comes late."""
         saved = data.draw(strategies.sampled_from(self.saved))
         assert isinstance(self.readers[reader].restore_snapshot(saved), Success)
 
     @stateful.invariant()
-    def folds_of_one_offset_are_equal(self):
+    def equal_offsets_have_equal_states(self):
         for fold in self.readers:
             digest, expected = self.states[fold.next_offset]
             assert fold.digest() == digest
-            accepted = {name: fold.accepted(name) for name in expected}
+            accepted = {name: fold.accepted_revision(name) for name in expected}
             assert accepted == expected
             assert set(fold.documents) == {
                 name
@@ -254,19 +262,19 @@
             }
 
     @stateful.invariant()
-    def revisions_never_go_down(self):
+    def revisions_never_decrease(self):
         for fold, highest in zip(self.readers, self.highest, strict=True):
             for name in ("fleet", *OWNERS):
-                revision = fold.accepted(name)
+                revision = fold.accepted_revision(name)
                 offset = revision.offset if revision else -1
                 assert offset >= highest.get(name, -1)
                 highest[name] = offset
 
     @stateful.invariant()
-    def a_told_outcome_stays(self):
-        for fold in (*self.readers, self.truth):
-            for record_id, verdict in self.told.items():
-                known = fold.outcome_of(record_id)
+    def verdicts_never_change(self):
+        for fold in (*self.readers, self.reference):
+            for record_id, verdict in self.verdicts.items():
+                known = fold.find_verdict(record_id)
                 assert known is None or known == verdict
                 # Below the bound of the history none is forgotten.
                 if verdict.offset < fold.next_offset and self.ids < 32:
@@ -274,9 +282,11 @@
 
     def teardown(self):
         """With the log back, every reader ends ready and equal."""
-        self.away = False
+        self.log_unreachable = False
         for body in checkpoint.serialize_checkpoint(
-            self.truth.snapshot(), checkpoint_id="last", part_bytes=PART_BYTES
+            self.reference.snapshot(),
+            checkpoint_id="last",
+            part_bytes=PART_BYTES,
         ):
             self._append("last", body)
         for reader, fold in enumerate(self.readers):
@@ -285,10 +295,10 @@
             assert fold.readiness(len(self.records)) == Success(
                 len(self.records)
             )
-            assert fold.snapshot() == self.truth.snapshot()
+            assert fold.snapshot() == self.reference.snapshot()
         for record_id in self.unsettled:
-            found = self.readers[0].outcome_of(record_id)
-            assert found == self.truth.outcome_of(record_id)
+            found = self.readers[0].find_verdict(record_id)
+            assert found == self.reference.find_verdict(record_id)
 
 
 TestRegistryMachine = RegistryMachine.TestCase
--- a/packages/bulrushgrade/tests/test_demand.py
+++ b/packages/bulrushgrade/tests/test_servicespec.py
@@ -1,15 +1,15 @@
 """Tests of the lookups in a document's sections."""
 
-from bulrushgrade import demand
+from bulrushgrade import servicespec
 
 
 def _route(path, *, repeatable, method="*"):
-    return demand.Route(
+    return servicespec.Route(
         name=path, method=method, path=path, repeatable=repeatable
     )
 
 
-def test_a_wide_route_does_not_undo_a_narrow_one():
+def test_broad_route_does_not_override_non_repeatable_route():
     # Story: a farm books a spray day; the answer is lost; the system repeats
     # the call and two crews come. Cause: a route for everything, written
     # above the one for bookings, says that repeats do no harm.
@@ -25,13 +25,15 @@
         "/x/../bookings/7",
         "/book%69ngs/7",
     ):
-        assert not demand.is_repeatable(routes, method="PUT", path=path)
-    assert demand.is_repeatable(routes, method="GET", path="/bookings/7")
-    assert demand.is_repeatable(routes, method="PUT", path="/bookings/7/crew")
-    assert not demand.is_repeatable((), method="GET", path="/")
+        assert not servicespec.is_repeatable(routes, method="PUT", path=path)
+    assert servicespec.is_repeatable(routes, method="GET", path="/bookings/7")
+    assert servicespec.is_repeatable(
+        routes, method="PUT", path="/bookings/7/crew"
+    )
+    assert not servicespec.is_repeatable((), method="GET", path="/")
 
 
-def test_stars():
+def test_path_wildcards():
     one = (_route("/a/*", repeatable=True),)
     rest = (_route("/a/**", repeatable=True),)
     for path, in_one, in_rest in (
@@ -40,15 +42,17 @@
         ("/a/b/c", False, True),
         ("/ab", False, False),
     ):
-        found = demand.find_route(one, method="GET", path=path)
+        found = servicespec.find_route(one, method="GET", path=path)
         assert (found is not None) == in_one, path
-        found = demand.find_route(rest, method="GET", path=path)
+        found = servicespec.find_route(rest, method="GET", path=path)
         assert (found is not None) == in_rest, path
 
 
-def test_a_request_has_the_first_class_that_it_meets():
+def test_request_gets_first_matching_deadline_class():
     def make(name, **conditions):
-        return demand.DeadlineClass(name=name, whole_answer_s=1.0, **conditions)
+        return servicespec.DeadlineClass(
+            name=name, whole_answer_s=1.0, **conditions
+        )
 
     classes = (
         make("marked", header="X-Kind: photo tag"),
@@ -61,7 +65,7 @@
         (101, 9, {}, "rest"),
         (9, 11, {"x-kind": "other"}, "rest"),
     ):
-        found = demand.classify(
+        found = servicespec.find_deadline_class(
             classes, prompt_tokens=prompt, answer_tokens=answer, headers=headers
         )
         assert found.name == name
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
@@ -71,7 +71,7 @@
         return outcome.refuse(f"nothing published: {read.failure()}")
     if _is_in_force(found, draft):
         return _tell_done(found, draft, "is in force already")
-    accepted = found.accepted(draft.service)
+    accepted = found.accepted_revision(draft.service)
     current = None if accepted is None else accepted.offset
     if base is not None and base != current:
         # Accepted revisions only go up, so the base can't come back.
@@ -158,7 +158,7 @@
 def _find_end(
     found: registry.Registry, attempt: _Attempt
 ) -> outcome.Outcome | None:
-    verdict = found.outcome_of(attempt.append.record_id)
+    verdict = found.find_verdict(attempt.append.record_id)
     if verdict is None:
         return None
     if verdict.accepted:
@@ -173,7 +173,7 @@
 
 
 def _is_in_force(found: registry.Registry, draft: checking.Draft) -> bool:
-    accepted = found.accepted(draft.service)
+    accepted = found.accepted_revision(draft.service)
     if accepted is None:
         return False
     return (accepted.text, accepted.team) == (draft.text, draft.team)
@@ -182,7 +182,7 @@
 def _tell_done(
     found: registry.Registry, draft: checking.Draft, how: str
 ) -> outcome.Outcome:
-    accepted = found.accepted(draft.service)
+    accepted = found.accepted_revision(draft.service)
     # By now a later publish may have replaced it; the verdict still stands.
     revision = None if accepted is None else accepted.offset
     return outcome.Outcome(
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/reading.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/reading.py
@@ -31,7 +31,7 @@
         if isinstance(read, Failure):
             return Failure(f"the log does not answer: {read.failure().reason}")
         page = read.unwrap()
-        found.note_earliest(page.earliest_offset)
+        found.observe_earliest_offset(page.earliest_offset)
         for item in page.records:
             found.apply(item)
         # A record that this release can't judge holds the fold where it is.
@@ -49,7 +49,7 @@
     read = await catch_up(log, registry.Registry())
     if isinstance(read, Failure):
         return outcome.leave_unknown(read.failure())
-    revision = read.unwrap().accepted(service)
+    revision = read.unwrap().accepted_revision(service)
     if revision is None:
         return outcome.refuse(f"{service} has no accepted document")
     return outcome.Outcome(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -13,9 +13,9 @@
 from bulrushgrade import engineorder
 from bulrushgrade import lease
 from bulrushgrade import membership
-from bulrushgrade import offering as offering_module
 from bulrushgrade import order
 from bulrushgrade import record
+from bulrushgrade import serviceindex
 from bulrushgrade import subset
 from bulrushgrade import work
 from bulrushgrade_daemon import group as group_module
@@ -144,7 +144,7 @@
                     group.observe(message.address, message.load, now)
         elif isinstance(message, PeerDemands):
             self._take_demands(message.peer, message.demands, now)
-        elif isinstance(message, offering_module.Offering):
+        elif isinstance(message, serviceindex.ServiceIndex):
             self._take_weights(message)
 
     def dump(self) -> dict[str, Any]:
@@ -280,10 +280,10 @@
                 if demand.model in models:
                     group.observe_demand(host, demand, now)
 
-    def _take_weights(self, offering: offering_module.Offering) -> None:
+    def _take_weights(self, service_index: serviceindex.ServiceIndex) -> None:
         for group in self._groups:
             service, _ = group_module.parse_group(group.name)
-            document = offering.services.get(service)
+            document = service_index.services.get(service)
             if document is not None:
                 weights = document.weights
                 group.set_weights(weights.goodput, weights.role_changes)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -7,7 +7,7 @@
 import klein
 from twisted.internet import defer
 
-from bulrushgrade import offering as offering_module
+from bulrushgrade import serviceindex
 from bulrushgrade_daemon import intake
 from bulrushgrade_daemon import plain
 from bulrushgrade_daemon import plainrelay
@@ -33,7 +33,7 @@
         timers: The timer service.
         relay: Carries model requests.
         plain: Carries requests for plain services.
-        offering: Returns the accepted documents, or None before the first.
+        service_index: Returns the accepted documents, or None before the first.
         ready: Returns None, or why this host can't serve yet.
         on_broken: Called with the reason of a broken invariant.
     """
@@ -41,7 +41,7 @@
     timers: Any
     relay: relay.Relay
     plain: plainrelay.PlainRelay
-    offering: Callable[[], offering_module.Offering | None]
+    service_index: Callable[[], serviceindex.ServiceIndex | None]
     ready: Callable[[], str | None]
     on_broken: Callable[[str], None]
 
@@ -74,7 +74,7 @@
         self._parts = parts
         self._intake = intake.Intake(
             timers=parts.timers,
-            offering=parts.offering,
+            service_index=parts.service_index,
             prefix=f"{settings.host.name}-{incarnation}",
         )
         self._open: set[str] = set()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
@@ -10,10 +10,10 @@
 from returns.result import Failure
 
 from bulrushgrade import checkpoint
-from bulrushgrade import offering as offering_module
 from bulrushgrade import publication
 from bulrushgrade import record
 from bulrushgrade import registry as registry_module
+from bulrushgrade import serviceindex
 from bulrushgrade_daemon import clock
 from bulrushgrade_daemon import logclient
 from bulrushgrade_daemon import task
@@ -50,7 +50,7 @@
         timers: clock.TimerService,
         log: logclient.LogClient,
         rng: random.Random,
-        on_accepted: Callable[[offering_module.Offering], None],
+        on_accepted: Callable[[serviceindex.ServiceIndex], None],
         on_broken: Callable[[str], None],
     ):
         """Makes the service.
@@ -59,14 +59,14 @@
             timers: The timer service.
             log: Reads the stream.
             rng: Source of jitter.
-            on_accepted: Called with the offering whenever it has changed.
+            on_accepted: Called with the service index whenever it has changed.
             on_broken: Called with the reason of a broken invariant.
         """
         self._timers = timers
         self._log = log
         self._on_accepted = on_accepted
         self._registry = registry_module.Registry()
-        self._offering: offering_module.Offering | None = None
+        self._service_index: serviceindex.ServiceIndex | None = None
         self._end_offset: int | None = None
         self._was_caught_up = False
         self._digest = ""
@@ -96,9 +96,9 @@
         return self._registry
 
     @property
-    def offering(self) -> offering_module.Offering | None:
+    def service_index(self) -> serviceindex.ServiceIndex | None:
         """The accepted documents, or None before the host may serve."""
-        return self._offering
+        return self._service_index
 
     @property
     def not_ready(self) -> str | None:
@@ -106,7 +106,7 @@
         # Once it has served it goes on: accepted documents never revert, so
         # an older set is right for all but the newest changes, and refusing
         # for the time of an outage of the log would harm every caller.
-        if self._offering is not None:
+        if self._service_index is not None:
             return None
         state = self._registry.readiness(self._end_offset)
         if isinstance(state, Failure):
@@ -148,7 +148,9 @@
     def dump(self) -> dict[str, Any]:
         """Returns the accepted revisions and how far the stream is read."""
         names = ("fleet", *sorted(self._registry.documents))
-        accepted = {name: self._registry.accepted(name) for name in names}
+        accepted = {
+            name: self._registry.accepted_revision(name) for name in names
+        }
         return {
             "not_ready": self.not_ready,
             "digest": self._digest,
@@ -179,7 +181,7 @@
         self._was_caught_up = self._tail.caught_up
         self._end_offset = page.end_offset
         self._earliest_offset = page.earliest_offset
-        self._registry.note_earliest(page.earliest_offset)
+        self._registry.observe_earliest_offset(page.earliest_offset)
         for item in page.records:
             self._counts["records"] += 1
             outcome = self._registry.apply(item)
@@ -189,7 +191,7 @@
         last = self._registry.last_checkpoint
         if last is not None and self._schedule is not None:
             now = self._timers.now
-            self._schedule.note_checkpoint(last, now=now, fresh=fresh)
+            self._schedule.observe_checkpoint(last, now=now, fresh=fresh)
         self._tail.seek(self._registry.read_offset)
         self._refresh()
 
@@ -204,7 +206,7 @@
             )
             last = self._registry.last_checkpoint
             if last is not None:
-                self._schedule.note_checkpoint(
+                self._schedule.observe_checkpoint(
                     last, now=self._timers.now, fresh=False
                 )
 
@@ -223,7 +225,7 @@
         if isinstance(ready, Failure):
             return
         now = self._timers.now
-        reason = self._schedule.find_due(
+        reason = self._schedule.find_due_reason(
             now=now,
             hosts=self._hosts,
             next_offset=self._registry.next_offset,
@@ -231,7 +233,7 @@
         )
         if reason is None:
             return
-        self._schedule.note_append(now)
+        self._schedule.record_append(now)
         self._counts["checkpoints"] += 1
         self._appending = True
         task.spawn(
@@ -261,22 +263,22 @@
             self._appending = False
 
     def _refresh(self) -> None:
-        if self._offering is None and (
+        if self._service_index is None and (
             self._registry.fleet is None
             or isinstance(self._registry.readiness(self._end_offset), Failure)
         ):
             return
         digest = self._registry.digest()
-        if self._offering is not None and digest == self._digest:
+        if self._service_index is not None and digest == self._digest:
             return
         self._digest = digest
         self._changed_at = self._timers.now
-        self._offering = offering_module.make_offering(
+        self._service_index = serviceindex.build_service_index(
             self._registry.documents.values(), self._registry.fleet
         )
         logging.info(
             "documents in force: %d services up to offset %d",
-            len(self._offering.services),
+            len(self._service_index.services),
             self._registry.next_offset,
         )
-        self._on_accepted(self._offering)
+        self._on_accepted(self._service_index)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -8,8 +8,8 @@
 
 from bulrushgrade import kernel as kernel_module
 from bulrushgrade import membership
-from bulrushgrade import offering as offering_module
 from bulrushgrade import scheduler
+from bulrushgrade import serviceindex
 from bulrushgrade import work
 from bulrushgrade_daemon import admin
 from bulrushgrade_daemon import authority
@@ -187,7 +187,7 @@
             timers=self._timers,
             relay=model_relay,
             plain=plain_relay,
-            offering=lambda: self._documents.offering,
+            service_index=lambda: self._documents.service_index,
             ready=self._not_ready,
             on_broken=self._kernel.fail,
         )
@@ -325,7 +325,7 @@
     def _on_snapshot_request(self, reply_to: bytes) -> None:
         # A host that is not ready itself would hand on what it can't vouch
         # for; others will answer.
-        if self._documents.offering is None:
+        if self._documents.service_index is None:
             return
         answer = peermessages.AnswerSnapshot(
             reply_to=reply_to, snapshot=self._documents.registry.snapshot()
@@ -334,12 +334,12 @@
 
     def _on_hosts(self, hosts: membership.HostList) -> None:
         self._kernel.send("mesh", hosts)
-        if self._documents.offering is None:
+        if self._documents.service_index is None:
             self._kernel.send("peers", peermessages.AskSnapshot())
 
-    def _on_accepted(self, offering: offering_module.Offering) -> None:
-        self._placing.set_policies(offering.policies())
-        self._kernel.send("authority", offering)
+    def _on_accepted(self, service_index: serviceindex.ServiceIndex) -> None:
+        self._placing.set_policies(service_index.policies())
+        self._kernel.send("authority", service_index)
 
     def _not_ready(self) -> str | None:
         if self._documents.not_ready is not None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/intake.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/intake.py
@@ -6,9 +6,9 @@
 
 from returns.result import Failure
 
-from bulrushgrade import demand
 from bulrushgrade import document
-from bulrushgrade import offering as offering_module
+from bulrushgrade import serviceindex
+from bulrushgrade import servicespec
 from bulrushgrade import work as work_module
 from bulrushgrade_daemon import plain
 from bulrushgrade_daemon import plainrelay
@@ -33,18 +33,18 @@
         self,
         *,
         timers: Any,
-        offering: Callable[[], offering_module.Offering],
+        service_index: Callable[[], serviceindex.ServiceIndex],
         prefix: str,
     ):
         """Makes the intake of one run of a daemon.
 
         Args:
             timers: Tells when a request came.
-            offering: Returns the accepted documents.
+            service_index: Returns the accepted documents.
             prefix: Begins each request's id; unique for this run.
         """
         self._timers = timers
-        self._offering = offering
+        self._service_index = service_index
         self._prefix = prefix
         self._numbers = itertools.count(1)
 
@@ -75,7 +75,7 @@
     def _find_model_service(
         self, name: str, wanted: str | None
     ) -> document.ServiceDocument | refusal.Refusal:
-        found = self._offering().find_model_services(wanted or name)
+        found = self._service_index().find_model_services(wanted or name)
         if not found:
             return refusal.bad_request(
                 f"no service offers the model {name!r}",
@@ -100,20 +100,20 @@
         now = self._timers.now
         request_id = self._new_id()
         prompt_tokens = work_module.estimate_tokens(asked.text)
-        limits = demand.classify(
+        limits = servicespec.find_deadline_class(
             service.deadlines,
             prompt_tokens=prompt_tokens,
             answer_tokens=asked.max_tokens,
             headers=read_headers(http_request),
         )
-        route = demand.find_route(
+        route = servicespec.find_route(
             service.routes, method="POST", path=asked.path
         )
         work = work_module.Work(
             request_id=request_id,
             service=service.service,
             team=service.team,
-            model=offering_module.choose_model(service, asked.model),
+            model=serviceindex.choose_model(service, asked.model),
             prompt_tokens=prompt_tokens,
             output_tokens=asked.max_tokens,
             prefix=work_module.prefix_blocks(asked.text),
@@ -146,7 +146,7 @@
         """Returns the job of a request for a plain service."""
         uri = http_request.uri.decode("latin-1")
         name, _, rest = uri[len(SERVICES_PREFIX) :].partition("/")
-        service = self._offering().find_plain_service(name)
+        service = self._service_index().find_plain_service(name)
         if service is None:
             return refusal.bad_request(
                 f"there is no plain service {name!r}",
@@ -155,8 +155,8 @@
             )
         method = http_request.method.decode("latin-1")
         path = "/" + rest.partition("?")[0]
-        route = demand.find_route(service.routes, method=method, path=path)
-        repeatable = demand.is_repeatable(
+        route = servicespec.find_route(service.routes, method=method, path=path)
+        repeatable = servicespec.is_repeatable(
             service.routes, method=method, path=path
         )
         key = _read_key(http_request, route)
@@ -170,14 +170,14 @@
         self,
         http_request: Any,
         service: document.ServiceDocument,
-        route: demand.Route | None,
+        route: servicespec.Route | None,
         path: str,
         repeatable: bool,
         key: str | None,
     ) -> plainrelay.PlainJob:
         now = self._timers.now
         request_id = self._new_id()
-        limits = demand.classify(
+        limits = servicespec.find_deadline_class(
             service.deadlines, headers=read_headers(http_request)
         )
         for named in service.deadlines:
@@ -230,7 +230,7 @@
 
 
 def _read_key(
-    http_request: Any, route: demand.Route | None
+    http_request: Any, route: servicespec.Route | None
 ) -> str | None | refusal.Refusal:
     header = DEFAULT_KEY_HEADER
     if route is not None and route.idempotency_header is not None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
@@ -9,8 +9,8 @@
 from twisted.internet import defer
 
 from bulrushgrade import answer as answer_module
-from bulrushgrade import demand
 from bulrushgrade import document
+from bulrushgrade import servicespec
 from bulrushgrade import work as work_module
 from bulrushgrade_daemon import engine
 from bulrushgrade_daemon import metrics
@@ -54,7 +54,7 @@
     asked: request.Completion
     service: document.ServiceDocument
     model: str
-    limits: demand.DeadlineClass
+    limits: servicespec.DeadlineClass
     work: work_module.Work
     arrived_s: float
     on_event: Callable[[engine.Event], None]
--- a/packages/bulrushgrade_daemon/tests/control.py
+++ b/packages/bulrushgrade_daemon/tests/control.py
@@ -159,7 +159,7 @@
             team=options.get("team", "operators"),
             base_offset=options.get("base"),
             text=text,
-            validation=document.VALIDATION,
+            validation=document.LATEST_VALIDATION,
         )
         return self.append(
             publication.STREAM, publication.CODEC.serialize(message)
--- a/packages/bulrushgrade_daemon/tests/scene.py
+++ b/packages/bulrushgrade_daemon/tests/scene.py
@@ -245,7 +245,7 @@
             team="operators",
             base_offset=None,
             text=text,
-            validation=document.VALIDATION,
+            validation=document.LATEST_VALIDATION,
         )
         body = publication.CODEC.serialize(message).decode()
         value = {"records": [{"id": f"first-{service}", "body": body}]}
--- a/tools/documentchanges.py
+++ b/tools/documentchanges.py
@@ -42,14 +42,14 @@
         self.records: list[record.Record] = []
 
     def publish(self, service: str, team: str, text: str) -> None:
-        revision = self._fold.accepted(service)
+        revision = self._fold.accepted_revision(service)
         body = publication.CODEC.serialize(
             publication.Publish(
                 service=service,
                 team=team,
                 base_offset=revision.offset if revision else None,
                 text=text,
-                validation=document.VALIDATION,
+                validation=document.LATEST_VALIDATION,
             )
         )
         offset = len(self.records)
--- a/tools/logslopes.py
+++ b/tools/logslopes.py
@@ -39,7 +39,7 @@
             team="platform",
             base_offset=None,
             text=text,
-            validation=document.VALIDATION,
+            validation=document.LATEST_VALIDATION,
         )
     )
 
