--- a/packages/bulrushgrade/bulrushgrade/capacityplan.py
+++ b/packages/bulrushgrade/bulrushgrade/capacityplan.py
@@ -28,15 +28,15 @@
     """What the operator allows for a service.
 
     Attributes:
-        least: Engines that each zone has at least.
-        most: Engines that each zone has at most, of both kinds together.
+        min_engines: Engines that each zone has at least.
+        max_engines: Engines that each zone has at most, of both kinds together.
         boot_s: How long a new engine takes until it serves.
         spot_price: The price of a spot engine, as a part of the other kind's.
         zone_prices: The price of an engine by zone.
     """
 
-    least: int
-    most: int
+    min_engines: int
+    max_engines: int
     boot_s: float
     spot_price: float
     zone_prices: Mapping[str, float]
@@ -176,7 +176,10 @@
     def _targets(self, view: CapacityView) -> dict[Pool, int]:
         """Returns how many engines each zone should have, cheapest first."""
         scaling, zones = view.scaling, view.zones
-        each = min(max(self._affordable(view), scaling.least), scaling.most)
+        each = min(
+            max(self._affordable(view), scaling.min_engines),
+            scaling.max_engines,
+        )
         # A zone that gives no more still has those that run there.
         spot = {
             zone: min(each, view.running.get((zone, True), 0))
@@ -184,12 +187,14 @@
             else each
             for zone in zones
         }
-        full = {zone: max(0, scaling.least - spot[zone]) for zone in zones}
+        full = {
+            zone: max(0, scaling.min_engines - spot[zone]) for zone in zones
+        }
         missing = self._needed - sum(spot.values()) - sum(full.values())
         for zone in zones:
             if missing <= 0:
                 break
-            more = min(missing, scaling.most - spot[zone] - full[zone])
+            more = min(missing, scaling.max_engines - spot[zone] - full[zone])
             full[zone] += more
             missing -= more
         targets = {(zone, True): each for zone in zones}
--- a/packages/bulrushgrade/bulrushgrade/checkpoint.py
+++ b/packages/bulrushgrade/bulrushgrade/checkpoint.py
@@ -298,5 +298,7 @@
     lists may come to the same turn; two checkpoints do no harm.
     """
     key = f"checkpoint {last_offset}"
-    own = (subset.weigh(key, address), address)
-    return sum((subset.weigh(key, host), host) > own for host in set(hosts))
+    own = (subset.rendezvous_weight(key, address), address)
+    return sum(
+        (subset.rendezvous_weight(key, host), host) > own for host in set(hosts)
+    )
--- a/packages/bulrushgrade/bulrushgrade/crashledger.py
+++ b/packages/bulrushgrade/bulrushgrade/crashledger.py
@@ -36,22 +36,22 @@
 """Before and after the crashes of a request, for which others in the same
 zone count as parts of one failure."""
 
-SUSPECT_S = 600.0
+CRASH_TTL_S = 600.0
 """After the last crash of a request, or the end of its quarantine, how long
 its crashes count against it."""
 
 QUARANTINE_S = 600.0
 """How long the first quarantine of a request lasts."""
 
-MOST_QUARANTINE_S = 86_400.0
+MAX_QUARANTINE_S = 86_400.0
 """How long one lasts at most."""
 
-MOST_SIGHTINGS = 4096
+MAX_INVOLVEMENTS = 4096
 """Requests at crashed endpoints that are kept, so that no failure and no
 caller can fill the memory of the hosts. The oldest give way, those of
 quarantined requests last."""
 
-MOST_DOUBLED = math.ceil(math.log2(MOST_QUARANTINE_S / QUARANTINE_S))
+MOST_DOUBLED = math.ceil(math.log2(MAX_QUARANTINE_S / QUARANTINE_S))
 """Times that it is doubled until it is as long."""
 
 Incarnation = tuple[str, int]
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Sighting:
+class Involvement:
     """A request that was at an endpoint when that crashed.
 
     Attributes:
@@ -81,15 +81,15 @@
 
     @property
     def key(self) -> Key:
-        """Names the sighting."""
+        """Names the involvement."""
         return (self.fingerprint, self.endpoint)
 
 
 @attrs.frozen(kw_only=True)
 class _Entry:
-    """A sighting and when this host learned of it."""
+    """An involvement and when this host learned of it."""
 
-    sighting: Sighting
+    involvement: Involvement
     since: float
 
 
@@ -114,18 +114,18 @@
         """The fingerprints of requests that are to blame for crashes."""
         return frozenset(self._find_blamed())
 
-    def take(self, sighting: Sighting, *, now: float) -> None:
-        """Takes a sighting; one that is known already changes nothing."""
-        if sighting.key in self._entries:
+    def take(self, involvement: Involvement, *, now: float) -> None:
+        """Takes an involvement; one that is known already changes nothing."""
+        if involvement.key in self._entries:
             return
-        entry = _Entry(sighting=sighting, since=now)
-        self._entries[sighting.key] = entry
-        its = self._by_request.setdefault(sighting.fingerprint, {})
-        its[sighting.endpoint] = entry
+        entry = _Entry(involvement=involvement, since=now)
+        self._entries[involvement.key] = entry
+        its = self._by_request.setdefault(involvement.fingerprint, {})
+        its[involvement.endpoint] = entry
         self._blamed = None
 
     def drop(self, key: Key) -> None:
-        """Drops a sighting, where it is known."""
+        """Drops an involvement, where it is known."""
         if self._entries.pop(key, None) is None:
             return
         fingerprint, endpoint = key
@@ -136,12 +136,12 @@
         self._blamed = None
 
     def clear(self, fingerprint: str) -> list[Key]:
-        """Drops a request's sightings, as it has run to its end.
+        """Drops a request's involvements, as it has run to its end.
 
         Returns:
             What was dropped.
         """
-        keys = [s.key for s in self.sightings(fingerprint)]
+        keys = [s.key for s in self.involvements(fingerprint)]
         for key in keys:
             self.drop(key)
         return keys
@@ -153,11 +153,11 @@
             fingerprint
             for fingerprint in self._by_request
             if now - self._last_crash(fingerprint)
-            >= SUSPECT_S + self._quarantine_s(fingerprint)
+            >= CRASH_TTL_S + self._quarantine_s(fingerprint)
         }
         dropped = [key for key in self._entries if key[0] in old]
         kept = [key for key in self._entries if key[0] not in old]
-        excess = len(kept) - MOST_SIGHTINGS
+        excess = len(kept) - MAX_INVOLVEMENTS
         if excess > 0:
             kept.sort(key=lambda key: key[0] in blamed)
             dropped += kept[:excess]
@@ -165,14 +165,14 @@
             self.drop(key)
         return dropped
 
-    def sightings(self, fingerprint: str) -> list[Sighting]:
+    def involvements(self, fingerprint: str) -> list[Involvement]:
         """Returns where a request was when endpoints crashed."""
         its = self._by_request.get(fingerprint, {})
-        return [entry.sighting for entry in its.values()]
+        return [entry.involvement for entry in its.values()]
 
     def zones(self, fingerprint: str) -> frozenset[str]:
         """Returns the availability zones in which endpoints crashed with it."""
-        return frozenset(s.zone for s in self.sightings(fingerprint))
+        return frozenset(s.zone for s in self.involvements(fingerprint))
 
     def is_quarantined(self, fingerprint: str, now: float) -> bool:
         """Returns whether a request must not be sent to endpoints."""
@@ -192,7 +192,7 @@
             return 0.0
         more = len(self._by_request[fingerprint]) - enough
         doubled_s = QUARANTINE_S * 2 ** min(more, MOST_DOUBLED)
-        return min(doubled_s, MOST_QUARANTINE_S)
+        return min(doubled_s, MAX_QUARANTINE_S)
 
     def _find_blamed(self) -> dict[str, int]:
         """Returns the requests to blame, with the crashes that were enough."""
@@ -220,7 +220,7 @@
 
     def _needed(self, fingerprint: str, least: int) -> int:
         """Returns how many crashes of a request are enough to blame it."""
-        begun = sum(s.has_begun for s in self.sightings(fingerprint))
+        begun = sum(s.has_begun for s in self.involvements(fingerprint))
         needed = least
         if begun < least - 1:
             needed += 1
@@ -237,7 +237,7 @@
         times = [entry.since for entry in its.values()]
         first, last = min(times), max(times)
         return any(
-            entry.sighting.zone in zones
+            entry.involvement.zone in zones
             and endpoint not in its
             and first - ZONE_FAILURE_S <= entry.since <= last + ZONE_FAILURE_S
             for (_, endpoint), entry in self._entries.items()
@@ -249,4 +249,4 @@
 
     def _caller(self, fingerprint: str) -> str:
         its = self._by_request[fingerprint]
-        return next(iter(its.values())).sighting.caller
+        return next(iter(its.values())).involvement.caller
--- a/packages/bulrushgrade/bulrushgrade/engineadmission.py
+++ b/packages/bulrushgrade/bulrushgrade/engineadmission.py
@@ -48,7 +48,7 @@
     plan: placementplan.Plan,
     *,
     route: routing.Route,
-    least_urgency: int,
+    lowest_urgency: int,
     waited_s: float,
 ) -> int:
     """Returns how soon engines should take a prompt.
@@ -65,11 +65,11 @@
     Args:
         plan: Where it goes.
         route: Its route.
-        least_urgency: Of all routes to the service.
+        lowest_urgency: Of all routes to the service.
         waited_s: Since it came.
     """
-    if route.urgency < least_urgency:
+    if route.urgency < lowest_urgency:
         return route.urgency
     if waited_s + plan.first_s <= route.target_s:
         return route.urgency
-    return routing.LEAST_URGENT
+    return routing.LOWEST_URGENCY
--- a/packages/bulrushgrade/bulrushgrade/enginefleet.py
+++ b/packages/bulrushgrade/bulrushgrade/enginefleet.py
@@ -87,11 +87,11 @@
         """Returns what is known of engines, for the plan of their roles."""
         found = []
         for engine in engines:
-            wait_s = self.wait_s(engine, traits, now, routing.LEAST_URGENT)
+            wait_s = self.wait_s(engine, traits, now, routing.LOWEST_URGENCY)
             there = self.generation(engine, traits, now)
-            crowding = plancost.crowding(there, wait_s, limits.least_gap_s)
+            saturation = plancost.saturation(there, wait_s, limits.min_gap_s)
             view = stageplan.EngineView(
-                engine=engine, wait_s=wait_s, crowding=crowding
+                engine=engine, wait_s=wait_s, saturation=saturation
             )
             found.append(view)
         return tuple(found)
--- a/packages/bulrushgrade/bulrushgrade/fleetmembers.py
+++ b/packages/bulrushgrade/bulrushgrade/fleetmembers.py
@@ -38,19 +38,19 @@
         self._unable: set[str] = set()
         self._excluded: dict[str, float] = {}
 
-    def hear(self, name: str, now: float) -> None:
+    def observe_message(self, name: str, now: float) -> None:
         """Notes that a daemon was heard."""
         self._heard[name] = now
         self._excluded.pop(name, None)
 
-    def note_able(self, name: str, is_able: bool) -> None:
+    def observe_ability(self, name: str, is_able: bool) -> None:
         """Notes whether a daemon that was heard could give orders."""
         if is_able:
             self._unable.discard(name)
         else:
             self._unable.add(name)
 
-    def take_list(
+    def update_list(
         self,
         by: str,
         part: int,
@@ -79,7 +79,7 @@
             unable=frozenset(unable),
         )
 
-    def there(self) -> list[str]:
+    def present(self) -> list[str]:
         """Returns the other daemons that are there, one a host, sorted."""
         newest: dict[str, tuple[float, str]] = {}
         for name, at in self._all():
@@ -89,7 +89,7 @@
         newest.pop(host_of(self._own_name), None)
         return sorted(name for _, name in newest.values())
 
-    def listed_by(self) -> dict[tuple[str, int], int]:
+    def list_numbers(self) -> dict[tuple[str, int], int]:
         """Returns the numbers of the known lists, by their maker and part."""
         return {key: one.number for key, one in self._lists.items()}
 
@@ -102,14 +102,14 @@
         """Forgets all lists, where those who keep them up are not heard."""
         self._lists.clear()
 
-    def unable(self) -> set[str]:
+    def unable_to_order(self) -> set[str]:
         """Returns those that could not give orders."""
         found = set(self._unable)
         for one in self._lists.values():
             found |= one.unable
         return found
 
-    def drop_earlier(self, name: str) -> list[str]:
+    def drop_earlier_starts(self, name: str) -> list[str]:
         """Forgets the names that a daemon's host had before; returns them."""
         host = host_of(name)
         earlier = [
--- a/packages/bulrushgrade/bulrushgrade/plancost.py
+++ b/packages/bulrushgrade/bulrushgrade/plancost.py
@@ -41,13 +41,13 @@
         target_s: The request's first event is late after this.
         gap_s: The longest pause in its own events that is not late; None
             where its route names none.
-        least_gap_s: The least gap of all routes to the service; None where
+        min_gap_s: The least gap of all routes to the service; None where
             no route names one.
     """
 
     target_s: float
     gap_s: float | None = None
-    least_gap_s: float | None = None
+    min_gap_s: float | None = None
 
 
 @attrs.frozen(kw_only=True)
@@ -109,21 +109,21 @@
     return late_share(first_s, needs.target_s, FIRST_FROM, FIRST_TO)
 
 
-def crowding(
-    there: Generation, queued_s: float, least_gap_s: float | None
+def saturation(
+    there: Generation, queued_s: float, min_gap_s: float | None
 ) -> float:
     """Returns how much of what an engine has for streams is taken, 1 for all.
 
     Args:
         there: What the engine generates.
         queued_s: Reading that waits there.
-        least_gap_s: The longest pause that its streams may have, or None.
+        min_gap_s: The longest pause that its streams may have, or None.
     """
     room = max(there.tokens / there.memory_tokens, there.streams / there.slots)
-    if not least_gap_s:
+    if not min_gap_s:
         return room
     # What a single stream takes of the pause no other engine could spare it.
-    spare_s = max(least_gap_s - there.least_pause_s, LEAST_SPREAD * least_gap_s)
+    spare_s = max(min_gap_s - there.least_pause_s, LEAST_SPREAD * min_gap_s)
     taken_s = there.pause_s - there.least_pause_s + queued_s
     return max(room, taken_s / spare_s)
 
@@ -150,7 +150,7 @@
         new_tokens: What the new stream will have in memory at its end.
         needs: What is allowed.
     """
-    spread_s, gap_s = there.spread_s, needs.least_gap_s
+    spread_s, gap_s = there.spread_s, needs.min_gap_s
     own = pause_late(there.pause_after_s, spread_s, needs.gap_s)
     after = pause_late(there.pause_after_s, spread_s, gap_s)
     before = pause_late(there.pause_s, spread_s, gap_s)
@@ -181,7 +181,7 @@
         needs: What is allowed.
     """
     peak_s = there.pause_s + queued_s
-    spread_s, gap_s = there.spread_s, needs.least_gap_s
+    spread_s, gap_s = there.spread_s, needs.min_gap_s
     after = pause_late(peak_s + read_s, spread_s, gap_s)
     before = pause_late(peak_s, spread_s, gap_s)
     # Where the streams stand still already, those that begin meanwhile do so
--- a/packages/bulrushgrade/bulrushgrade/retryshare.py
+++ b/packages/bulrushgrade/bulrushgrade/retryshare.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable
 import random
 
-RATIO_USED = 0.9
+RATIO_SAFETY_FACTOR = 0.9
 """The part of the ratio that is used. Requests of a window are counted when
 they arrive here; who counts elsewhere may put its window's edge some requests
 away, so a tenth is left unused."""
 
 
-RETURN_AFTER_S = 0.3
+BASE_RETRY_AFTER_S = 0.3
 """The time in which a queue of an endpoint moves on by some requests; where
 more waits, the time in which that is done. Spread by half in both directions
 so that callers refused together do not return together."""
 
-RETURN_SHARE = 1 / 3
+MAX_WAIT_FRACTION = 1 / 3
 """Of the caller's time that a refusal asks it to wait at most; a caller does
 not wait longer, and needs the rest for its next try."""
 
@@ -40,7 +40,7 @@
                 it shrinks when more daemons are known.
             window_s: The length of the window in seconds.
         """
-        self._ratio = ratio * RATIO_USED
+        self._ratio = ratio * RATIO_SAFETY_FACTOR
         self._extra = extra
         self._window_s = window_s
         self._requests: collections.deque[float] = collections.deque()
@@ -67,7 +67,7 @@
                 times.popleft()
 
 
-def return_after_s(
+def choose_retry_after_s(
     deadline_s: float | None, rng: random.Random, *, queued_s: float = 0.0
 ) -> float:
     """Returns in how many seconds a refused caller had better return.
@@ -77,7 +77,7 @@
         rng: Source of the spread.
         queued_s: What waits where it would have gone.
     """
-    after_s = max(RETURN_AFTER_S, queued_s) * rng.uniform(0.5, 1.5)
+    after_s = max(BASE_RETRY_AFTER_S, queued_s) * rng.uniform(0.5, 1.5)
     if deadline_s is None:
         return after_s
-    return min(after_s, deadline_s * RETURN_SHARE)
+    return min(after_s, deadline_s * MAX_WAIT_FRACTION)
--- a/packages/bulrushgrade/bulrushgrade/roleplan.py
+++ b/packages/bulrushgrade/bulrushgrade/roleplan.py
@@ -63,7 +63,7 @@
 LONGEST_S = 90.0
 """A change that takes longer than this, drain included, has failed."""
 
-STALE_S = 3.0
+MAX_VIEW_AGE_S = 3.0
 """A view that is older is not acted on: its engines may be gone, and a
 change would take one more from a fleet that already lost one."""
 
@@ -193,7 +193,7 @@
             view: The group; it is not acted on when it is stale.
             now: The present time.
         """
-        if now - view.at > STALE_S or now - self._last_change < GAP_S:
+        if now - view.at > MAX_VIEW_AGE_S or now - self._last_change < GAP_S:
             return None
         demands = self._demands(view, now)
         serving = [
--- a/packages/bulrushgrade/bulrushgrade/routing.py
+++ b/packages/bulrushgrade/bulrushgrade/routing.py
@@ -18,7 +18,7 @@
 few hundred of them fill a memory, so that parts push each other out; reading
 one takes longer than the query."""
 
-LEAST_URGENT = 9
+LOWEST_URGENCY = 9
 """The largest urgency that engines know: that of work which lets all other go
 first."""
 
@@ -88,7 +88,7 @@
     @property
     def urgency(self) -> int:
         """The priority as engines know it; the least is for late work."""
-        return min(self.priority, LEAST_URGENT - 1)
+        return min(self.priority, LOWEST_URGENCY - 1)
 
     @property
     def repeatable(self) -> bool:
@@ -118,7 +118,7 @@
         memory_tokens: Tokens that fit an engine's memory.
         token_bytes: Bytes of KV cache a token.
         link_bytes_per_s: What an engine's link carries.
-        handle_s: How long an engine keeps a prompt that it read for another.
+        kv_handle_ttl_s: How long an engine keeps a prompt read for another.
         stage_change_s: How long a change of role takes.
         event_tokens: Tokens in one event of a stream.
     """
@@ -127,7 +127,7 @@
     memory_tokens: int
     token_bytes: int
     link_bytes_per_s: float
-    handle_s: float
+    kv_handle_ttl_s: float
     stage_change_s: float
     event_tokens: int = 1
 
@@ -195,15 +195,15 @@
     """What all routes to a service together allow.
 
     Attributes:
-        longest_target_s: The longest time in which an answer is not late.
-        least_gap_s: The shortest of the longest pauses between events that
+        max_target_s: The longest time in which an answer is not late.
+        min_gap_s: The shortest of the longest pauses between events that
             are not late; None where no route names one.
-        least_urgency: The urgency of the least urgent route.
+        lowest_urgency: The urgency of the least urgent route.
     """
 
-    longest_target_s: float = 0.0
-    least_gap_s: float | None = None
-    least_urgency: int = 0
+    max_target_s: float = 0.0
+    min_gap_s: float | None = None
+    lowest_urgency: int = 0
 
 
 NO_LIMITS = ServiceLimits()
@@ -250,7 +250,7 @@
             end = path.rfind("/", 0, end - 1) + 1
         return None
 
-    def rank(
+    def with_workspace_priority(
         self, route: Route, workspace: workspaces_module.Workspace | None
     ) -> Route:
         """Returns a route with the priority that a workspace's requests have.
@@ -270,15 +270,17 @@
 
     def _note_limits(self, route: Route) -> None:
         keys = self._configuration.keys
-        least_urgent = min(keys.least_urgent, LEAST_URGENT - 1) if keys else 0
+        lowest_priority = (
+            min(keys.lowest_priority, LOWEST_URGENCY - 1) if keys else 0
+        )
         for target in route.targets:
             known = self.limits(target.service)
-            gaps_s = [g for g in (known.least_gap_s, route.gap_s) if g]
+            gaps_s = [g for g in (known.min_gap_s, route.gap_s) if g]
             self._limits[target.service] = ServiceLimits(
-                longest_target_s=max(known.longest_target_s, route.target_s),
-                least_gap_s=min(gaps_s, default=None),
-                least_urgency=max(
-                    known.least_urgency, route.urgency, least_urgent
+                max_target_s=max(known.max_target_s, route.target_s),
+                min_gap_s=min(gaps_s, default=None),
+                lowest_urgency=max(
+                    known.lowest_urgency, route.urgency, lowest_priority
                 ),
             )
 
--- a/packages/bulrushgrade/bulrushgrade/stagechanges.py
+++ b/packages/bulrushgrade/bulrushgrade/stagechanges.py
@@ -53,7 +53,7 @@
         change = _Change(stage=stage, ends_at=ends_at)
         self._changes[engine.incarnation] = change
 
-    def settle(
+    def exclude_changing(
         self, engines: Iterable[directory.Registration], now: float
     ) -> list[directory.Registration]:
         """Returns the engines that are not changing."""
--- a/packages/bulrushgrade/bulrushgrade/stageplan.py
+++ b/packages/bulrushgrade/bulrushgrade/stageplan.py
@@ -22,11 +22,11 @@
 before its prompt is read."""
 
 CROWDED = 0.8
-"""Mean crowding of the engines that generate from which on there are too few
+"""Mean saturation of the engines that generate from which on there are too few
 of them: what is known is a moment old, and streams grow while they run."""
 
 ROOM = CROWDED / 2
-"""Mean crowding that the engines that go on generating may have without the
+"""Mean saturation that the engines that go on generating may have without the
 one that changes: a burst doubles what is generated."""
 
 MOST = 2.0
@@ -36,8 +36,8 @@
 
 MISSED_LESS = 0.5
 """Wait at the engines that read, in the same targets and without the one that
-changes, against the crowding that it is to end: an answer is late by a wait of
-one target as it is by a crowding of one, and half of that may be wrong."""
+changes, against the saturation that it is to end: an answer is late by a wait
+of one target as it is by a saturation of one, and half of that may be wrong."""
 
 SMOOTH_CHANGES = 1.0
 """Time constant of both means, in changes of role: a pressure that passes
@@ -64,13 +64,13 @@
     Attributes:
         engine: The engine.
         wait_s: How long the least urgent work would wait there.
-        crowding: How much of its memory, its slots or the pause that routes
+        saturation: How much of its memory, its slots or the pause that routes
             allow is taken, whichever is most; 1 for all of it.
     """
 
     engine: directory.Registration
     wait_s: float
-    crowding: float
+    saturation: float
 
 
 @attrs.frozen(kw_only=True)
@@ -129,8 +129,8 @@
         return self._wait_s
 
     @property
-    def crowding(self) -> float:
-        """The smoothed mean crowding of the engines that generate."""
+    def saturation(self) -> float:
+        """The smoothed mean saturation of the engines that generate."""
         return self._crowding
 
     def note_change(self, view: ServiceView, now: float) -> None:
@@ -186,8 +186,8 @@
         if self._wait_s <= READ_PRESSURE * view.target_s:
             return False
         # Crowded at this moment is crowded, whatever it was before.
-        crowding = max(self._crowding, _mean_crowding(makers))
-        return crowding * count / (count - 1) <= ROOM
+        saturation = max(self._crowding, _mean_crowding(makers))
+        return saturation * count / (count - 1) <= ROOM
 
     def _may_generate_more(self, view: ServiceView, readers: int) -> bool:
         """Returns whether reading engines can give one up to generating."""
@@ -201,7 +201,7 @@
         self, makers: list[EngineView], reason: str, now: float
     ) -> StageChange | None:
         def load(view: EngineView) -> tuple[float, float, str]:
-            return view.crowding, view.wait_s, view.engine.id
+            return view.saturation, view.wait_s, view.engine.id
 
         stage = directory.Stage.PREFILL
         return self._change(sorted(makers, key=load), stage, reason, now)
@@ -245,9 +245,9 @@
         wait_s = _mean(
             [min(engine.wait_s, longest_s) for engine in readers or makers]
         )
-        crowding = _mean_crowding(makers)
+        saturation = _mean_crowding(makers)
         self._wait_s += weight * (wait_s - self._wait_s)
-        self._crowding += weight * (crowding - self._crowding)
+        self._crowding += weight * (saturation - self._crowding)
 
 
 def _of_stage(view: ServiceView, stage: directory.Stage) -> list[EngineView]:
@@ -255,7 +255,7 @@
 
 
 def _mean_crowding(makers: list[EngineView]) -> float:
-    return _mean([min(engine.crowding, MOST) for engine in makers])
+    return _mean([min(engine.saturation, MOST) for engine in makers])
 
 
 def _mean(values: list[float]) -> float:
--- a/packages/bulrushgrade/bulrushgrade/subset.py
+++ b/packages/bulrushgrade/bulrushgrade/subset.py
@@ -21,17 +21,18 @@
 # Endpoints a service in the own zone. Two random choices need a handful of
 # near-equals to choose from; a dozen also keeps a tie's share of an endpoint
 # small when one of them fails.
-OWN_ZONE_TIES = 12
+OWN_ZONE_ENDPOINTS = 12
 # Endpoints a service outside the own zone, so that a daemon has somewhere to
 # place at once when its zone's endpoints are lost, before any list says so.
-# Up to OWN_ZONE_TIES + SPARE_TIES endpoints a service, all are tied to all.
-SPARE_TIES = 4
+# Up to OWN_ZONE_ENDPOINTS + OTHER_ZONE_ENDPOINTS endpoints a service, all
+# daemons are tied to all of them.
+OTHER_ZONE_ENDPOINTS = 4
 # Daemons that may seek authority over one group of engines. Each reads the
 # group's stream, so the number is small; with three, two may be lost at once.
 CANDIDATES = 3
 
 
-def weigh(key: str, member: str) -> int:
+def rendezvous_weight(key: str, member: str) -> int:
     """Returns the rendezvous weight of a member for a key, 64 bits."""
     return xxhash.xxh3_64_intdigest(f"{key} {member}".encode())
 
@@ -48,7 +49,9 @@
         The chosen members, the greatest weight first.
     """
     return tuple(
-        heapq.nlargest(count, members, key=lambda member: weigh(key, member))
+        heapq.nlargest(
+            count, members, key=lambda member: rendezvous_weight(key, member)
+        )
     )
 
 
@@ -83,12 +86,12 @@
     def choose(self, daemon: str, count: int) -> tuple[str, ...]:
         """Returns the daemon's first choices among the members."""
         if daemon not in self.choices:
-            limit = OWN_ZONE_TIES + SPARE_TIES
+            limit = OWN_ZONE_ENDPOINTS + OTHER_ZONE_ENDPOINTS
             self.choices[daemon] = rank(daemon, self.members, limit)
         return self.choices[daemon][:count]
 
 
-class Ties:
+class EndpointSubsets:
     """The ties of all daemons, by one host list.
 
     Choices are kept for each zone and service until an endpoint there comes
@@ -99,7 +102,7 @@
     def __init__(self):
         self._buckets: dict[str, dict[tuple[str, str], _Bucket]] = {}
         self._daemons: dict[str, membership.Host] = {}
-        self._ties: dict[str, frozenset[str]] = {}
+        self._subsets: dict[str, frozenset[str]] = {}
 
     def update(self, hosts: Iterable[membership.Host]) -> None:
         """Takes the hosts of a newer list.
@@ -129,7 +132,7 @@
         for address in self._daemons.keys() - daemons.keys():
             self._forget(address)
         self._daemons = daemons
-        self._ties = {}
+        self._subsets = {}
 
     def get_endpoints(self, daemon: str) -> frozenset[str]:
         """Returns the addresses of the endpoints that a daemon is tied to.
@@ -140,13 +143,13 @@
         """
         if daemon not in self._daemons:
             return frozenset()
-        if daemon not in self._ties:
-            self._ties[daemon] = frozenset(
+        if daemon not in self._subsets:
+            self._subsets[daemon] = frozenset(
                 endpoint
                 for by_zone in self._buckets.values()
                 for endpoint in self._choose(self._daemons[daemon], by_zone)
             )
-        return self._ties[daemon]
+        return self._subsets[daemon]
 
     def find_peers(self, daemon: str) -> dict[str, frozenset[str]]:
         """Returns the daemons that share an endpoint with one daemon.
@@ -170,7 +173,7 @@
         daemon: membership.Host,
         by_zone: dict[tuple[str, str], _Bucket],
     ) -> list[str]:
-        limit = OWN_ZONE_TIES + SPARE_TIES
+        limit = OWN_ZONE_ENDPOINTS + OTHER_ZONE_ENDPOINTS
         if sum(len(b.members) for b in by_zone.values()) <= limit:
             return [a for b in by_zone.values() for a in b.members]
         own = (daemon.region, daemon.zone)
@@ -180,7 +183,7 @@
                 continue
             count = limit - len(chosen)
             if zone == own:
-                count = OWN_ZONE_TIES
+                count = OWN_ZONE_ENDPOINTS
             chosen.extend(by_zone[zone].choose(daemon.address, count))
             if len(chosen) >= limit:
                 break
--- a/packages/bulrushgrade/bulrushgrade/usagewindows.py
+++ b/packages/bulrushgrade/bulrushgrade/usagewindows.py
@@ -18,14 +18,14 @@
 """After a window's end until a daemon's counts are whole: requests that began
 in it are counted with the head of their answer."""
 
-WAIT_PART = 0.5
+WAIT_FRACTION = 0.5
 """Of the time in which a report is due, for which counts of daemons that have
 not sent theirs are waited for."""
 
 RETRY_S = 1.0
 """Before a report that was not accepted is sent again."""
 
-KEPT_TIMES = 4.0
+RETENTION_FACTOR = 4.0
 """Times within which reports are due, for which windows are remembered."""
 
 
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Windows:
+class WindowSchedule:
     """How time is divided.
 
     Attributes:
@@ -85,15 +85,15 @@
         """Returns whether a window's report is not late yet."""
         return now <= self.end(window) + self.late_s
 
-    def oldest_kept(self, now: float) -> int:
+    def oldest_retained(self, now: float) -> int:
         """Returns the oldest window that is remembered."""
-        return self.number(now - KEPT_TIMES * self.late_s)
+        return self.number(now - RETENTION_FACTOR * self.late_s)
 
 
 class UsageMeter:
     """What one daemon counts."""
 
-    def __init__(self, *, windows: Windows):
+    def __init__(self, *, windows: WindowSchedule):
         """Makes a meter that has counted nothing.
 
         Args:
@@ -113,7 +113,7 @@
 
     def forget(self, now: float) -> None:
         """Drops windows that are not remembered any more."""
-        oldest = self._windows.oldest_kept(now)
+        oldest = self._windows.oldest_retained(now)
         for window in [w for w in self._counts if w < oldest]:
             del self._counts[window]
 
@@ -129,7 +129,9 @@
 class UsageReports:
     """Which windows were reported, and what is to be reported next."""
 
-    def __init__(self, *, holder: str, windows: Windows, started_at: float):
+    def __init__(
+        self, *, holder: str, windows: WindowSchedule, started_at: float
+    ):
         """Makes a state in which nothing was reported.
 
         Args:
@@ -161,7 +163,7 @@
         """Notes that records were dropped unread."""
         self._known_from = now
 
-    def note_tried(self, window: int, now: float) -> None:
+    def record_attempt(self, window: int, now: float) -> None:
         """Notes that a window's report was sent, or was to be."""
         self._tried_at[window] = now
 
@@ -202,7 +204,7 @@
         """
         expected = set(daemons)
         windows = range(
-            self._windows.oldest_kept(now), self._windows.number(now)
+            self._windows.oldest_retained(now), self._windows.number(now)
         )
         due = [w for w in windows if self._is_due(w, now, expected)]
         if not due:
@@ -217,7 +219,7 @@
 
     def forget(self, now: float) -> None:
         """Drops windows that are not remembered any more."""
-        oldest = self._windows.oldest_kept(now)
+        oldest = self._windows.oldest_retained(now)
         self._accepted = {w for w in self._accepted if w >= oldest}
         self._recorded = {
             w: counts for w, counts in self._recorded.items() if w >= oldest
@@ -243,7 +245,7 @@
         if not self._windows.is_settled(window, now):
             return False
         whole = {daemon for daemon, one in sent.items() if one.is_whole}
-        waited = now >= end + WAIT_PART * self._windows.late_s
+        waited = now >= end + WAIT_FRACTION * self._windows.late_s
         return waited or expected <= whole
 
     def _add_up(self, window: int) -> Counts:
--- a/packages/bulrushgrade/bulrushgrade/workspaces.py
+++ b/packages/bulrushgrade/bulrushgrade/workspaces.py
@@ -42,7 +42,7 @@
     return hashlib.sha256(key).digest()
 
 
-def name_key(digest: bytes) -> str:
+def make_key_id(digest: bytes) -> str:
     """Returns the short id of a key, from which it can't be found."""
     return digest.hex()[:KEY_ID_DIGITS]
 
@@ -57,7 +57,7 @@
             keys: Digests of keys with the workspace that each belongs to.
         """
         self._by_digest = dict(keys)
-        self._least_urgent = max(
+        self._lowest_priority = max(
             (owner.priority or 0 for owner in self._by_digest.values()),
             default=0,
         )
@@ -66,9 +66,9 @@
         return len(self._by_digest)
 
     @property
-    def least_urgent(self) -> int:
+    def lowest_priority(self) -> int:
         """The priority of the least urgent workspace that has one."""
-        return self._least_urgent
+        return self._lowest_priority
 
     def find(self, digests: frozenset[bytes]) -> Workspace | Denial:
         """Returns whose request it is by the digests of the keys it bears.
--- a/packages/bulrushgrade/tests/capacityscene.py
+++ b/packages/bulrushgrade/tests/capacityscene.py
@@ -3,8 +3,8 @@
 from bulrushgrade import capacityplan
 
 SCALING = capacityplan.Scaling(
-    least=1,
-    most=12,
+    min_engines=1,
+    max_engines=12,
     boot_s=4.0,
     spot_price=0.2,
     zone_prices={"a": 1.0, "b": 0.8, "c": 1.2, "d": 0.9},
--- a/packages/bulrushgrade/tests/planscene.py
+++ b/packages/bulrushgrade/tests/planscene.py
@@ -16,7 +16,7 @@
     memory_tokens=480_000,
     token_bytes=18_432,
     link_bytes_per_s=22.5e9,
-    handle_s=5.0,
+    kv_handle_ttl_s=5.0,
     stage_change_s=3.0,
     event_tokens=10,
 )
@@ -30,7 +30,7 @@
 ]
 
 
-NEEDS = plancost.Needs(target_s=0.8, gap_s=0.4, least_gap_s=0.4)
+NEEDS = plancost.Needs(target_s=0.8, gap_s=0.4, min_gap_s=0.4)
 
 
 def find_preferred(prompt, engines):
--- a/packages/bulrushgrade/tests/test_crashledger.py
+++ b/packages/bulrushgrade/tests/test_crashledger.py
@@ -10,8 +10,8 @@
 FAR_S = 10 * crashledger.ZONE_FAILURE_S
 
 
-def sight(request, endpoint, *, zone="z1", caller="c1", begun=True):
-    return crashledger.Sighting(
+def involve(request, endpoint, *, zone="z1", caller="c1", begun=True):
+    return crashledger.Involvement(
         fingerprint=request,
         caller=caller,
         endpoint=(endpoint, 1),
@@ -25,7 +25,7 @@
     for endpoint in endpoints:
         for request in requests.split():
             its = {"zone": f"z{endpoint}"} | changes
-            ledger.take(sight(request, endpoint, **its), now=now)
+            ledger.take(involve(request, endpoint, **its), now=now)
 
 
 def test_third_crash_of_a_request_quarantines_it():
@@ -49,7 +49,7 @@
     ledger = crashledger.CrashLedger()
     for born in range(3):
         ledger.take(
-            crashledger.Sighting(
+            crashledger.Involvement(
                 fingerprint="bad",
                 caller="c1",
                 endpoint=("e1", born),
@@ -107,18 +107,18 @@
     ledger = crashledger.CrashLedger()
     for number, endpoint in enumerate(("e1", "e2", "e3", "e4")):
         at = 0.2 * number
-        ledger.take(sight("other", endpoint), now=at)
+        ledger.take(involve("other", endpoint), now=at)
     for number, endpoint in enumerate(("e1", "e3", "e4")):
-        ledger.take(sight("good", endpoint), now=0.2 * number)
+        ledger.take(involve("good", endpoint), now=0.2 * number)
     assert "good" not in ledger.blamed
 
 
 def test_crashes_of_one_zone_alone_are_a_request_s_own():
     """A service has endpoints in one zone only, and nothing else crashes."""
     ledger = crashledger.CrashLedger()
-    ledger.take(sight("other", "e0"), now=0.0)
+    ledger.take(involve("other", "e0"), now=0.0)
     for number, endpoint in enumerate(("e1", "e2", "e3")):
-        ledger.take(sight("bad", endpoint), now=FAR_S + number)
+        ledger.take(involve("bad", endpoint), now=FAR_S + number)
     assert ledger.blamed == {"bad"}
 
 
@@ -161,13 +161,13 @@
         assert ledger.is_quarantined("bad", now)
     for number in range(20):
         crash(ledger, "bad", f"more{number}", now=now)
-    assert ledger.left_s("bad", now) == crashledger.MOST_QUARANTINE_S
+    assert ledger.left_s("bad", now) == crashledger.MAX_QUARANTINE_S
 
 
 def test_request_that_is_not_sent_again_is_forgotten():
     ledger = crashledger.CrashLedger()
     crash(ledger, "bad", "e1", "e2", "e3")
-    end = crashledger.QUARANTINE_S + crashledger.SUSPECT_S
+    end = crashledger.QUARANTINE_S + crashledger.CRASH_TTL_S
     assert ledger.expire(end - 1.0) == []
     assert len(ledger.expire(end)) == 3
     crash(ledger, "bad", "e4", now=end)
@@ -178,7 +178,7 @@
     """A stream that is not repeated took one endpoint a try, minutes apart."""
     ledger = crashledger.CrashLedger()
     for number in range(3):
-        at = number * 0.9 * crashledger.SUSPECT_S
+        at = number * 0.9 * crashledger.CRASH_TTL_S
         assert ledger.expire(at) == []
         crash(ledger, "bad", f"e{number}", now=at)
     assert ledger.blamed == {"bad"}
@@ -187,7 +187,7 @@
 def test_suspicion_ends_after_its_last_crash():
     ledger = crashledger.CrashLedger()
     crash(ledger, "good", "e1", "e2")
-    assert len(ledger.expire(crashledger.SUSPECT_S)) == 2
+    assert len(ledger.expire(crashledger.CRASH_TTL_S)) == 2
     crash(ledger, "good", "e3")
     assert ledger.blamed == set()
 
@@ -196,22 +196,22 @@
     """A zone with thousands of requests failed, and the ledger was full."""
     ledger = crashledger.CrashLedger()
     crash(ledger, "bad", "e1", "e2", "e3")
-    for number in range(crashledger.MOST_SIGHTINGS + 50):
-        ledger.take(sight(f"r{number}", "e9"), now=1.0)
+    for number in range(crashledger.MAX_INVOLVEMENTS + 50):
+        ledger.take(involve(f"r{number}", "e9"), now=1.0)
     dropped = ledger.expire(1.0)
-    assert len(ledger) == crashledger.MOST_SIGHTINGS
+    assert len(ledger) == crashledger.MAX_INVOLVEMENTS
     assert len(dropped) == 53
     assert ledger.blamed == {"bad"}
 
 
 def test_caller_with_very_many_harmful_requests_does_not_fill_memory():
     ledger = crashledger.CrashLedger()
-    for number in range(crashledger.MOST_SIGHTINGS):
+    for number in range(crashledger.MAX_INVOLVEMENTS):
         crash(ledger, f"b{number}", "e1", "e2", "e3")
         if number % 500 == 0:
             ledger.expire(0.0)
     ledger.expire(0.0)
-    assert len(ledger) == crashledger.MOST_SIGHTINGS
+    assert len(ledger) == crashledger.MAX_INVOLVEMENTS
 
 
 class CrashLedgerMachine(stateful.RuleBasedStateMachine):
@@ -231,11 +231,11 @@
         begun=st.booleans(),
     )
     def crash(self, request, endpoint, zone, begun):
-        sighting = sight(request, endpoint, zone=zone, begun=begun)
-        if sighting.key in self.one:
+        involvement = involve(request, endpoint, zone=zone, begun=begun)
+        if involvement.key in self.one:
             return
-        self.one.take(sighting, now=self.now)
-        self.waiting.append(sighting)
+        self.one.take(involvement, now=self.now)
+        self.waiting.append(involvement)
 
     @stateful.rule(data=st.data())
     def learn(self, data):
@@ -257,7 +257,7 @@
     @stateful.invariant()
     def blames_nobody_for_two_crashes(self):
         for request in self.one.blamed:
-            assert len(self.one.sightings(request)) >= 2
+            assert len(self.one.involvements(request)) >= 2
 
 
 TestCrashLedgerMachine = CrashLedgerMachine.TestCase
--- a/packages/bulrushgrade/tests/test_engineadmission.py
+++ b/packages/bulrushgrade/tests/test_engineadmission.py
@@ -51,15 +51,15 @@
     return engineadmission.choose_urgency(
         make_plan(wait_s),
         route=make_route(priority),
-        least_urgency=2,
+        lowest_urgency=2,
         waited_s=waited_s,
     )
 
 
 def test_prompts_that_will_be_late_let_others_go_first():
     assert choose(0.3) == 2
-    assert choose(0.5) == routing.LEAST_URGENT
-    assert choose(0.3, waited_s=0.2) == routing.LEAST_URGENT
+    assert choose(0.5) == routing.LOWEST_URGENCY
+    assert choose(0.3, waited_s=0.2) == routing.LOWEST_URGENCY
 
 
 def test_more_urgent_kinds_keep_their_place():
--- a/packages/bulrushgrade/tests/test_plancost.py
+++ b/packages/bulrushgrade/tests/test_plancost.py
@@ -6,7 +6,7 @@
 
 from bulrushgrade import plancost
 
-NEEDS = plancost.Needs(target_s=0.5, gap_s=0.2, least_gap_s=0.2)
+NEEDS = plancost.Needs(target_s=0.5, gap_s=0.2, min_gap_s=0.2)
 THERE = plancost.Generation(
     streams=20,
     tokens=100_000,
@@ -51,7 +51,7 @@
 def test_routes_without_a_gap_have_no_late_pauses():
     needs = plancost.Needs(target_s=0.5)
     assert plancost.reading_harm(THERE, 0.0, 5.0, needs) == 0.0
-    assert plancost.crowding(THERE, 5.0, None) < 0.5
+    assert plancost.saturation(THERE, 5.0, None) < 0.5
 
 
 def test_streams_beyond_the_slots_wait_for_one():
@@ -68,15 +68,15 @@
 
 
 def test_crowding_is_the_scarcest_of_memory_slots_and_pause():
-    assert plancost.crowding(THERE, 0.0, 0.2) == 20 / 48
+    assert plancost.saturation(THERE, 0.0, 0.2) == 20 / 48
     slow = attrs.evolve(THERE, pause_s=0.18)
-    assert abs(plancost.crowding(slow, 0.0, 0.2) - 0.9) < 1e-9
+    assert abs(plancost.saturation(slow, 0.0, 0.2) - 0.9) < 1e-9
     # An empty engine has a pause as well, which leaves all of its room.
     base = attrs.evolve(slow, pause_s=0.1, least_pause_s=0.1, streams=1)
-    assert plancost.crowding(base, 0.0, 0.2) < 0.3
-    assert abs(plancost.crowding(base, 0.05, 0.2) - 0.5) < 1e-9
+    assert plancost.saturation(base, 0.0, 0.2) < 0.3
+    assert abs(plancost.saturation(base, 0.05, 0.2) - 0.5) < 1e-9
     full = attrs.evolve(THERE, tokens=440_000)
-    assert plancost.crowding(full, 0.0, 0.2) == 1.0
+    assert plancost.saturation(full, 0.0, 0.2) == 1.0
 
 
 @given(st.floats(0, 1), st.floats(0, 1), st.floats(0, 0.2))
--- a/packages/bulrushgrade/tests/test_retryshare.py
+++ b/packages/bulrushgrade/tests/test_retryshare.py
@@ -17,7 +17,7 @@
     for _ in range(100):
         share.count_request(0.0)
     spent = sum(share.spend(0.0) for _ in range(100))
-    assert spent == int(100 * 0.2 * retryshare.RATIO_USED)
+    assert spent == int(100 * 0.2 * retryshare.RATIO_SAFETY_FACTOR)
 
 
 def test_nothing_is_left_without_requests():
@@ -68,11 +68,11 @@
     Told the same time, all of them would meet it full again.
     """
     rng = random.Random(1)
-    times = [retryshare.return_after_s(3.0, rng) for _ in range(100)]
-    assert max(times) - min(times) > retryshare.RETURN_AFTER_S / 2
+    times = [retryshare.choose_retry_after_s(3.0, rng) for _ in range(100)]
+    assert max(times) - min(times) > retryshare.BASE_RETRY_AFTER_S / 2
     assert max(times) <= 1.0
-    assert retryshare.return_after_s(0.3, rng) <= 0.1
-    assert retryshare.return_after_s(None, rng) > 0
+    assert retryshare.choose_retry_after_s(0.3, rng) <= 0.1
+    assert retryshare.choose_retry_after_s(None, rng) > 0
 
 
 def test_refused_callers_return_when_the_queue_is_done():
@@ -83,10 +83,12 @@
     """
     rng = random.Random(1)
     spread = [
-        retryshare.return_after_s(9.0, rng, queued_s=1.0) for _ in range(50)
+        retryshare.choose_retry_after_s(9.0, rng, queued_s=1.0)
+        for _ in range(50)
     ]
     assert 0.5 <= min(spread) < 0.7 < 1.3 < max(spread) <= 1.5
     short = [
-        retryshare.return_after_s(0.6, rng, queued_s=1.0) for _ in range(50)
+        retryshare.choose_retry_after_s(0.6, rng, queued_s=1.0)
+        for _ in range(50)
     ]
-    assert max(short) <= 0.6 * retryshare.RETURN_SHARE
+    assert max(short) <= 0.6 * retryshare.MAX_WAIT_FRACTION
--- a/packages/bulrushgrade/tests/test_roleplan.py
+++ b/packages/bulrushgrade/tests/test_roleplan.py
@@ -78,7 +78,7 @@
 def test_stale_view_or_change_under_way_is_not_acted_on():
     plan = roleplan.RolePlan()
     now = _feed(plan, [(3.5, 0.8)] * 6)
-    stale = _view(FLEET, now - roleplan.STALE_S - 0.1)
+    stale = _view(FLEET, now - roleplan.MAX_VIEW_AGE_S - 0.1)
     assert plan.propose(stale, now) is None
     changing = _view(FLEET, now, e0=work.EndpointState.CHANGING)
     assert plan.propose(changing, now) is None
--- a/packages/bulrushgrade/tests/test_stagechanges.py
+++ b/packages/bulrushgrade/tests/test_stagechanges.py
@@ -34,26 +34,26 @@
     # All hosts went on sending to it until they had read its record, and it
     # turned their requests away for three seconds.
     other = engine("f")
-    assert changing().settle([engine(), other], 1.0) == [other]
+    assert changing().exclude_changing([engine(), other], 1.0) == [other]
 
 
 def test_an_engine_is_used_again_by_its_record():
     # Running work delayed the change. Prompts that were sent when it should
     # have been over were turned away, and had no other attempt.
     changes = changing()
-    assert changes.settle([engine()], 3.5) == []
+    assert changes.exclude_changing([engine()], 3.5) == []
     record = engine(stage=READ)
-    assert changes.settle([record], 3.6) == [record]
+    assert changes.exclude_changing([record], 3.6) == [record]
 
 
 def test_an_engine_that_did_not_change_is_used_as_it_is():
     late = 3.0 + stagechanges.RECORD_LAG_S
     changes = changing()
-    assert changes.settle([engine()], late) == [engine()]
+    assert changes.exclude_changing([engine()], late) == [engine()]
     changes.forget(late)
-    assert changes.settle([engine()], 0.0) == [engine()]
+    assert changes.exclude_changing([engine()], 0.0) == [engine()]
 
 
 def test_a_restarted_engine_is_another_one():
     again = attrs.evolve(engine(), born_ms=2)
-    assert changing().settle([again], 1.0) == [again]
+    assert changing().exclude_changing([again], 1.0) == [again]
--- a/packages/bulrushgrade/tests/test_stageplan.py
+++ b/packages/bulrushgrade/tests/test_stageplan.py
@@ -13,9 +13,9 @@
 TARGET_S = 0.8
 
 
-def make_view(readers, makers, waits_s=(), crowding=()):
-    """Makes a view; waits and crowding are by engine, the rest idle."""
-    waits_s, crowding = dict(waits_s), dict(crowding)
+def make_view(readers, makers, waits_s=(), saturation=()):
+    """Makes a view; waits and saturation are by engine, the rest idle."""
+    waits_s, saturation = dict(waits_s), dict(saturation)
     engines = [make(f"p{n}", stage=PREFILL) for n in range(readers)]
     engines += [make(f"d{n}", stage=DECODE) for n in range(makers)]
     return stageplan.ServiceView(
@@ -24,7 +24,7 @@
             stageplan.EngineView(
                 engine=engine,
                 wait_s=waits_s.get(engine.id, 0.0),
-                crowding=crowding.get(engine.id, 0.0),
+                saturation=saturation.get(engine.id, 0.0),
             )
             for engine in engines
         ),
@@ -58,8 +58,8 @@
 
     Four engines generate and have room, while prompts are refused.
     """
-    crowding = {"d0": 0.2, "d1": 0.1, "d2": 0.3, "d3": 0.4}
-    view = make_view(2, 4, of_all("p", 2, 1.0), crowding)
+    saturation = {"d0": 0.2, "d1": 0.1, "d2": 0.3, "d3": 0.4}
+    view = make_view(2, 4, of_all("p", 2, 1.0), saturation)
     change, at = watch(make_plan(), view, seconds=10.0)
     assert change.engine.id == "d1"
     assert change.stage is PREFILL
@@ -104,12 +104,12 @@
     for phase in range(40):
         is_reading = phase % 2 == 0
         wait_s = (1.8 if is_reading else 0.15) / readers
-        crowding = (1.2 if is_reading else 5.4) / makers
+        saturation = (1.2 if is_reading else 5.4) / makers
         view = make_view(
             readers,
             makers,
             of_all("p", readers, wait_s),
-            of_all("d", makers, crowding),
+            of_all("d", makers, saturation),
         )
         end = now + 2.8
         while now < end:
@@ -131,8 +131,8 @@
     """
     plan = make_plan()
     for number in range(40):
-        crowding = {"d0": 2.0 * number}
-        view = make_view(3, 6, of_all("p", 3, 0.1), crowding)
+        saturation = {"d0": 2.0 * number}
+        view = make_view(3, 6, of_all("p", 3, 0.1), saturation)
         change, _ = watch(plan, view, seconds=0.25, start=0.25 * number)
         assert change is None
 
--- a/packages/bulrushgrade/tests/test_subset.py
+++ b/packages/bulrushgrade/tests/test_subset.py
@@ -34,39 +34,42 @@
     return hosts
 
 
-def make_ties(hosts):
-    ties = subset.Ties()
-    ties.update(hosts)
-    return ties
+def make_subsets(hosts):
+    subsets = subset.EndpointSubsets()
+    subsets.update(hosts)
+    return subsets
 
 
-def collect(ties, daemons):
-    return {f"d{i}": ties.get_endpoints(f"d{i}") for i in range(daemons)}
+def collect(subsets, daemons):
+    return {f"d{i}": subsets.get_endpoints(f"d{i}") for i in range(daemons)}
 
 
 def test_small_fleet_is_a_full_mesh():
-    ties = make_ties(make_fleet(9, 9))
-    for endpoints in collect(ties, 9).values():
+    subsets = make_subsets(make_fleet(9, 9))
+    for endpoints in collect(subsets, 9).values():
         assert len(endpoints) == 9
-    assert len(ties.find_peers("d0")) == 8
-    assert ties.get_endpoints("not listed") == frozenset()
+    assert len(subsets.find_peers("d0")) == 8
+    assert subsets.get_endpoints("not listed") == frozenset()
 
 
 def test_large_fleet_is_tied_by_own_zone_first():
     hosts = make_fleet(40, 160)
     zone_of = {host.address: host.zone for host in hosts}
-    ties = make_ties(hosts)
-    for daemon, endpoints in collect(ties, 40).items():
+    subsets = make_subsets(hosts)
+    for daemon, endpoints in collect(subsets, 40).items():
         zones = [zone_of[endpoint] for endpoint in endpoints]
-        assert zones.count(zone_of[daemon]) == subset.OWN_ZONE_TIES
+        assert zones.count(zone_of[daemon]) == subset.OWN_ZONE_ENDPOINTS
         assert len(set(zones)) == 2
-        assert len(zones) == subset.OWN_ZONE_TIES + subset.SPARE_TIES
+        assert (
+            len(zones)
+            == subset.OWN_ZONE_ENDPOINTS + subset.OTHER_ZONE_ENDPOINTS
+        )
 
 
 def test_peers_are_those_who_share_an_endpoint():
-    ties = make_ties(make_fleet(40, 160))
-    tied = collect(ties, 40)
-    peers = ties.find_peers("d0")
+    subsets = make_subsets(make_fleet(40, 160))
+    tied = collect(subsets, 40)
+    peers = subsets.find_peers("d0")
     assert peers == {
         daemon: tied["d0"] & endpoints
         for daemon, endpoints in tied.items()
@@ -86,16 +89,16 @@
 @hypothesis.settings(max_examples=25)
 def test_loss_of_an_endpoint_moves_only_its_own_ties(lost):
     hosts = make_fleet(24, 160)
-    ties = make_ties(hosts)
-    before = collect(ties, 24)
-    ties.update([host for host in hosts if host.address != f"e{lost}"])
-    after = collect(ties, 24)
+    subsets = make_subsets(hosts)
+    before = collect(subsets, 24)
+    subsets.update([host for host in hosts if host.address != f"e{lost}"])
+    after = collect(subsets, 24)
     for daemon, endpoints in before.items():
         gone = endpoints - after[daemon]
         assert gone == endpoints & {f"e{lost}"}
         assert len(after[daemon] - endpoints) == len(gone)
-    ties.update(hosts)
-    assert collect(ties, 24) == before
+    subsets.update(hosts)
+    assert collect(subsets, 24) == before
 
 
 def test_lost_zone_leaves_every_daemon_its_full_subset():
@@ -103,7 +106,7 @@
     left = [host for host in hosts if host.zone != "tuzla"]
     for host in left:
         if host.kind is membership.Kind.ENTRY:
-            assert len(make_ties(left).get_endpoints(host.address)) == 16
+            assert len(make_subsets(left).get_endpoints(host.address)) == 16
 
 
 def test_candidates_come_from_two_zones():
--- a/packages/bulrushgrade/tests/test_usagewindows.py
+++ b/packages/bulrushgrade/tests/test_usagewindows.py
@@ -6,7 +6,7 @@
 
 from bulrushgrade import usagewindows
 
-WINDOWS = usagewindows.Windows(window_s=5.0, late_s=10.0)
+WINDOWS = usagewindows.WindowSchedule(window_s=5.0, late_s=10.0)
 
 
 def make(holder="a", started_at=100.0):
@@ -22,7 +22,7 @@
     meter.note("lessor", 101.0)
     assert meter.counts(20) == {"dealer": 2, "lessor": 1}
     assert meter.counts(21) == {"dealer": 1}
-    meter.forget(100.0 + 5.0 + usagewindows.KEPT_TIMES * WINDOWS.late_s)
+    meter.forget(100.0 + 5.0 + usagewindows.RETENTION_FACTOR * WINDOWS.late_s)
     assert (meter.counts(20), meter.counts(21)) == ({}, {"dealer": 1})
 
 
@@ -40,7 +40,7 @@
     reports = make()
     reports.take_counts("a", 20, {"dealer": 2}, is_whole=True)
     reports.take_counts("b", 20, {"dealer": 1}, is_whole=False)
-    waits_s = usagewindows.WAIT_PART * WINDOWS.late_s
+    waits_s = usagewindows.WAIT_FRACTION * WINDOWS.late_s
     assert reports.next_record(105.0 + waits_s - 0.1, ["a", "b"]) is None
     found = reports.next_record(105.0 + waits_s, ["a", "b"])
     assert found.counts == {"dealer": 3}
@@ -95,7 +95,7 @@
     for window in (20, 21):
         reports.take_counts("a", window, {"dealer": 1}, is_whole=True)
     reports.take_record(reports.next_record(112.0, ["a"]))
-    reports.note_tried(20, 112.0)
+    reports.record_attempt(20, 112.0)
     assert reports.next_record(112.1, ["a"]).window == 21
     reports.take_record(reports.next_record(112.1, ["a"]))
     reports.note_accepted(21)
--- a/packages/bulrushgrade/tests/test_workspaces.py
+++ b/packages/bulrushgrade/tests/test_workspaces.py
@@ -12,7 +12,7 @@
     assert RING.find(frozenset({OLD})) == DEALER
     assert RING.find(frozenset({NEW})) == DEALER
     assert RING.find(frozenset({OTHER})) == LESSOR
-    assert (len(RING), RING.least_urgent) == (3, 3)
+    assert (len(RING), RING.lowest_priority) == (3, 3)
 
 
 def test_request_without_a_known_key_has_no_workspace():
@@ -26,11 +26,11 @@
 def test_workspace_without_keys_lets_nobody_in():
     ring = workspaces.KeyRing(keys=[])
     assert ring.find(frozenset({OLD})) is workspaces.Denial.UNKNOWN
-    assert ring.least_urgent == 0
+    assert ring.lowest_priority == 0
 
 
 def test_key_stands_in_no_text_of_a_ring():
     """Guards against keys in dumps and logs."""
-    shown = repr(vars(RING)) + workspaces.name_key(OLD)
+    shown = repr(vars(RING)) + workspaces.make_key_id(OLD)
     assert "old" not in shown
-    assert len(workspaces.name_key(OLD)) == workspaces.KEY_ID_DIGITS
+    assert len(workspaces.make_key_id(OLD)) == workspaces.KEY_ID_DIGITS
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
@@ -110,7 +110,7 @@
         request.urgency = engineadmission.choose_urgency(
             request.plan,
             route=request.route,
-            least_urgency=limits.least_urgency,
+            lowest_urgency=limits.lowest_urgency,
             waited_s=now - request.caller.arrived_at,
         )
         return request.plan.decode
@@ -150,7 +150,7 @@
             needs=plancost.Needs(
                 target_s=route.target_s,
                 gap_s=route.gap_s,
-                least_gap_s=self._table().limits(request.service).least_gap_s,
+                min_gap_s=self._table().limits(request.service).min_gap_s,
             ),
             now=now,
             urgency=route.urgency,
@@ -256,7 +256,7 @@
             view = stageplan.ServiceView(
                 service=service,
                 engines=fleet.views(engines, traits, limits, now),
-                target_s=limits.longest_target_s,
+                target_s=limits.max_target_s,
                 change_s=traits.stage_change_s,
                 settle_s=self._settle_s,
             )
@@ -313,7 +313,7 @@
         self, service: str, now: float
     ) -> list[directory_module.Registration]:
         usable = self._endpoints.usable(service, now=now)
-        return self._changes.settle(usable, now)
+        return self._changes.exclude_changing(usable, now)
 
     def _planner(self, service: str) -> engineplan.EnginePlanner:
         fleet = self._work.fleet(service)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashrecords.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashrecords.py
@@ -1,6 +1,6 @@
-"""Sightings of requests at crashed endpoints, as records of a keyed topic.
+"""Involvements of requests at crashed endpoints, as records of a keyed topic.
 
-Each sighting has a key of its own, so that hosts which tell of the same one
+Each involvement has a key of its own, so that hosts which tell of the same one
 write the same record, and none takes another's away.
 """
 
@@ -28,7 +28,7 @@
 
 
 def read_key(text: str) -> crashledger.Key | None:
-    """Returns the sighting that a record's key names, None where it is none."""
+    """Returns the involvement that a record's key names, None without one."""
     # Nothing is known of what an endpoint's id may contain.
     fingerprint, _, endpoint = text.partition(_SEPARATOR)
     id, _, born_ms = endpoint.rpartition(_SEPARATOR)
@@ -40,20 +40,20 @@
         return None
 
 
-def write_value(sighting: crashledger.Sighting) -> bytes:
+def write_value(involvement: crashledger.Involvement) -> bytes:
     """Returns the value of a sighting's record."""
     value = _Value(
-        caller=sighting.caller,
-        zone=sighting.zone,
-        has_begun=sighting.has_begun,
+        caller=involvement.caller,
+        zone=involvement.zone,
+        has_begun=involvement.has_begun,
     )
     return msgspec.json.encode(value)
 
 
-def read_sighting(
+def read_involvement(
     record: topicreader.KeyedRecord,
-) -> crashledger.Sighting | None:
-    """Returns the sighting in a record, None where it can't be read."""
+) -> crashledger.Involvement | None:
+    """Returns the involvement in a record, None where it can't be read."""
     key = read_key(record.key)
     if key is None or record.value is None:
         return None
@@ -62,7 +62,7 @@
     except msgspec.DecodeError:
         return None
     fingerprint, endpoint = key
-    return crashledger.Sighting(
+    return crashledger.Involvement(
         fingerprint=fingerprint,
         endpoint=endpoint,
         caller=value.caller,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -25,7 +25,7 @@
 """Between two writes, in which what comes from one failure is gathered."""
 
 CLEAR_PAUSE_S = 2.0
-"""In which sightings that don't count any more are gathered: most requests
+"""In which involvements that don't count any more are gathered: most requests
 that met a crash run to their end soon after it, each at its time."""
 
 RETRY_S = 0.5
@@ -47,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class CrashTopic:
-    """The topic of sightings on the platform's store.
+    """The topic of involvements on the platform's store.
 
     Attributes:
         reader: Reads it.
@@ -97,9 +97,11 @@
         # The blamed requests with their crashes, as they were logged.
         self._logged: dict[str, int] = {}
         # What this host saw, to be written again where the store has lost it.
-        self._own: dict[crashledger.Key, crashledger.Sighting] = {}
+        self._own: dict[crashledger.Key, crashledger.Involvement] = {}
         # The oldest first; None drops the record.
-        self._waiting: dict[crashledger.Key, crashledger.Sighting | None] = {}
+        self._waiting: dict[
+            crashledger.Key, crashledger.Involvement | None
+        ] = {}
         self._counts = {"written": 0, "failed": 0, "left_out": 0}
         self._unreadable = 0
         self._tick: Any = None
@@ -108,7 +110,7 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Records written, writes that failed, sightings left out."""
+        """Records written, writes that failed, involvements left out."""
         return {**self._counts, "unreadable": self._unreadable}
 
     @property
@@ -153,22 +155,22 @@
         """Takes a crash that this host saw."""
         now = self._timers.now
         for run in crash.runs:
-            sighting = crashledger.Sighting(
+            involvement = crashledger.Involvement(
                 fingerprint=run.fingerprint,
                 caller=run.caller_id,
                 endpoint=crash.endpoint.incarnation,
                 zone=crash.endpoint.zone,
                 has_begun=run.ran_s is not None,
             )
-            if sighting.key in self._ledger:
+            if involvement.key in self._ledger:
                 continue
-            is_first = not self._ledger.sightings(run.fingerprint)
-            self._ledger.take(sighting, now=now)
+            is_first = not self._ledger.involvements(run.fingerprint)
+            self._ledger.take(involvement, now=now)
             if is_first and len(self._waiting) >= MOST_WAITING:
                 self._counts["left_out"] += 1
                 continue
-            self._own[sighting.key] = sighting
-            self._waiting[sighting.key] = sighting
+            self._own[involvement.key] = involvement
+            self._waiting[involvement.key] = involvement
         self._note_changes()
         self._begin_to_write()
 
@@ -195,9 +197,9 @@
         """
         self.take_records(records)
         listed = {record.key for record in records if record.value is not None}
-        for key, sighting in self._own.items():
+        for key, involvement in self._own.items():
             if crashrecords.write_key(key) not in listed:
-                self._waiting.setdefault(key, sighting)
+                self._waiting.setdefault(key, involvement)
         self._begin_to_write()
 
     def _take_record(self, record: topicreader.KeyedRecord) -> None:
@@ -207,29 +209,31 @@
                 self._ledger.drop(key)
                 self._own.pop(key, None)
             return
-        sighting = crashrecords.read_sighting(record)
-        if sighting is None:
+        involvement = crashrecords.read_involvement(record)
+        if involvement is None:
             self._unreadable += 1
             self._log.note("record_unreadable", key=record.key)
         else:
-            self._ledger.take(sighting, now=self._timers.now)
+            self._ledger.take(involvement, now=self._timers.now)
 
     def _note_changes(self) -> None:
         before, now = self._logged, self._timers.now
         self._logged = {
-            fingerprint: len(self._ledger.sightings(fingerprint))
+            fingerprint: len(self._ledger.involvements(fingerprint))
             for fingerprint in self._ledger.blamed
         }
         for fingerprint, crashes in self._logged.items():
             if before.get(fingerprint) == crashes:
                 continue
-            sightings = self._ledger.sightings(fingerprint)
+            involvements = self._ledger.involvements(fingerprint)
             self._log.note(
                 "request_quarantined",
                 fingerprint=fingerprint,
-                endpoints=[sighting.endpoint[0] for sighting in sightings],
+                endpoints=[
+                    involvement.endpoint[0] for involvement in involvements
+                ],
                 zones=sorted(self._ledger.zones(fingerprint)),
-                waited_at=sum(not s.has_begun for s in sightings),
+                waited_at=sum(not s.has_begun for s in involvements),
                 for_s=round(self._ledger.left_s(fingerprint, now)),
             )
         for fingerprint in before.keys() - self._logged:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -181,7 +181,7 @@
         prompt_tokens = request.info.prompt.prompt_tokens
         stream = streamload.Stream(prompt_tokens=prompt_tokens)
         # It takes no slot from others before it runs.
-        lets_others_first = request.urgency == routing.LEAST_URGENT
+        lets_others_first = request.urgency == routing.LOWEST_URGENCY
         if not lets_others_first:
             streams.begin(stream)
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleetview.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleetview.py
@@ -59,14 +59,14 @@
 
     def refresh(self) -> None:
         """Takes in what has changed among those that were heard."""
-        there = [self._own_name, *self._members.there()]
+        there = [self._own_name, *self._members.present()]
         if there != self._there:
             self._there = there
             self._owners.clear()
 
     def is_first(self) -> bool:
         """Returns whether no other daemon that could order is before it."""
-        unable = self._members.unable()
+        unable = self._members.unable_to_order()
         able = (name for name in self._there[1:] if name not in unable)
         return all(self._own_name < name for name in able)
 
@@ -75,7 +75,7 @@
 
         This one where no other could.
         """
-        unable = self._members.unable()
+        unable = self._members.unable_to_order()
         others = [name for name in self._there[1:] if name not in unable]
         if self._is_able():
             others.append(self._own_name)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -414,7 +414,7 @@
         quarantined_s = self._quarantined_s(request)
         if quarantined_s > 0:
             return quarantined_s
-        return retryshare.return_after_s(
+        return retryshare.choose_retry_after_s(
             request.info.deadline_s,
             self._rng,
             queued_s=request.plan.wait_s if request.plan else 0.0,
@@ -428,7 +428,7 @@
 
     def _note_answered(self, request: inflight.InFlight) -> None:
         self._count("answered")
-        if len(self._ledger) and self._ledger.sightings(request.fingerprint):
+        if len(self._ledger) and self._ledger.involvements(request.fingerprint):
             self._note_whole(request.fingerprint)
         took_s = self._timers.now - request.caller.arrived_at
         self._observe(request.route.kind.value, took_s)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/grouplists.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/grouplists.py
@@ -57,7 +57,7 @@
             message: The list.
             pass_to: This daemon's members.
         """
-        self._members.take_list(
+        self._members.update_list(
             message.peer,
             message.part,
             message.number,
@@ -120,7 +120,7 @@
             pass_to: This daemon's members.
         """
         pass_to = list(pass_to)
-        for (by, part), number in self._members.listed_by().items():
+        for (by, part), number in self._members.list_numbers().items():
             if by not in kept:
                 empty = gatewaymessages.GroupMembers(
                     peer=by, part=part, number=number + 1, names=[], unable=[]
@@ -129,7 +129,7 @@
 
     def forget(self) -> None:
         """Drops what the members were told so long ago that it is gone."""
-        listed = self._members.listed_by()
+        listed = self._members.list_numbers()
         self._others = {k: v for k, v in self._others.items() if k in listed}
 
     def _period_s(self, receivers: int) -> float:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
@@ -321,7 +321,7 @@
             self._link.send_datagram([fleetmembers.host_of(name)], datagram)
 
     def _send_list(self, members: dict[str, int]) -> None:
-        unable = self._members.unable()
+        unable = self._members.unable_to_order()
         if not self._may_order():
             unable.add(self._own_name)
         hosts = [fleetmembers.host_of(name) for name in members]
@@ -388,13 +388,13 @@
         host = fleetmembers.host_of(name)
         if host == self._own_host:
             return False
-        for known in self._members.drop_earlier(name):
+        for known in self._members.drop_earlier_starts(name):
             # A host that was restarted is not there under its old name.
             self._loads.drop(known)
             self._groups.drop(known)
-        self._members.hear(name, self._timers.now)
+        self._members.observe_message(name, self._timers.now)
         if may_order is not None:
-            self._members.note_able(name, may_order)
+            self._members.observe_ability(name, may_order)
         if name not in self._fleet.there:
             self._fleet.refresh()
         return True
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
@@ -43,7 +43,7 @@
         self._region = region
         self._own_address = own_address
         self._own_peer_address = own_peer_address
-        self._ties = subset.Ties()
+        self._subsets = subset.EndpointSubsets()
         self._hosts: tuple[membership.Host, ...] = ()
         self._tied: frozenset[str] = frozenset()
 
@@ -85,8 +85,8 @@
             # sends all the same, so it needs ties of its own.
             hosts = (*hosts, self._make_own())
         self._hosts = hosts
-        self._ties.update(hosts)
-        self._tied = self._ties.get_endpoints(self.own)
+        self._subsets.update(hosts)
+        self._tied = self._subsets.get_endpoints(self.own)
         tied = membership.HostList(
             version=message.version,
             hosts=tuple(h for h in hosts if h.address in self._tied),
@@ -101,7 +101,7 @@
         self._kernel.send(
             "documents", documents.Daemons(own=self.own, live=live)
         )
-        peers = peermessages.list_peers(self._ties, hosts, self.own)
+        peers = peermessages.list_peers(self._subsets, hosts, self.own)
         self._kernel.send("peers", peermessages.SetPeers(peers=peers))
 
     def _make_own(self) -> membership.Host:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
@@ -66,7 +66,7 @@
             self._usage = usagereporting.UsageReporting(
                 timers=timers,
                 own_name=own_name,
-                windows=usagewindows.Windows(
+                windows=usagewindows.WindowSchedule(
                     window_s=settings.usage_window_s,
                     late_s=settings.usage_late_s,
                 ),
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peermessages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peermessages.py
@@ -86,12 +86,12 @@
 
 
 def list_peers(
-    ties: subset.Ties, hosts: Iterable[membership.Host], own: str
+    subsets: subset.EndpointSubsets, hosts: Iterable[membership.Host], own: str
 ) -> tuple[Peer, ...]:
-    """Returns the peers of a daemon by the present ties.
+    """Returns the peers of a daemon by the present subsets.
 
     Args:
-        ties: The ties, updated with the same hosts.
+        subsets: The subsets, updated with the same hosts.
         hosts: The listed hosts.
         own: The address of this daemon as the list shows it.
     """
@@ -103,6 +103,6 @@
         return tuple(Peer(address=a, shared=frozenset()) for a in chosen)
     return tuple(
         Peer(address=peer_addresses[address], shared=shared)
-        for address, shared in sorted(ties.find_peers(own).items())
+        for address, shared in sorted(subsets.find_peers(own).items())
         if address in peer_addresses
     )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
@@ -82,7 +82,7 @@
             challenge = self._dialect.challenge
             caller.answer(http.UNAUTHORIZED, challenge, b"")
             return None
-        route = table.rank(route, workspace)
+        route = table.with_workspace_priority(route, workspace)
         waits_s = inflight.longest_wait_s(info, route)
         ends_in_s = self._ends_in_s()
         if ends_in_s is not None and waits_s > ends_in_s:
@@ -111,7 +111,7 @@
         if left_s <= 0:
             return False
         self._count("refused_quarantined")
-        crashes = len(self._ledger.sightings(request.fingerprint))
+        crashes = len(self._ledger.involvements(request.fingerprint))
         self._log.note_quarantined(request, crashes, left_s)
         request.caller.refuse(left_s)
         return True
@@ -119,7 +119,9 @@
     def _refuse(
         self, caller: front.CallerRequest, info: dialect_module.RequestInfo
     ) -> None:
-        caller.refuse(retryshare.return_after_s(info.deadline_s, self._rng))
+        caller.refuse(
+            retryshare.choose_retry_after_s(info.deadline_s, self._rng)
+        )
 
     def _count(self, what: str) -> None:
         self._counts[what] = self._counts.get(what, 0) + 1
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
@@ -94,7 +94,7 @@
             route=route.name,
             configuration=version,
             reason=denial.value,
-            key_ids=sorted(map(workspaces.name_key, info.key_digests)),
+            key_ids=sorted(map(workspaces.make_key_id, info.key_digests)),
         )
 
     def note_attempt(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
@@ -148,7 +148,7 @@
     def dump(self) -> dict[str, Any]:
         """Returns what is watched."""
         plans = {
-            name: {"wait_s": plan.wait_s, "crowding": plan.crowding}
+            name: {"wait_s": plan.wait_s, "crowding": plan.saturation}
             for name, plan in self._plans.items()
         }
         return {"plans": plans, "end": self._actions.end, **self.counts}
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -74,7 +74,7 @@
         *,
         timers: Any,
         own_name: str,
-        windows: usagewindows.Windows,
+        windows: usagewindows.WindowSchedule,
         actions: fencedactions.FencedActions,
         calls: operatorcalls.OperatorCalls,
         fleet: fleetview.FleetView,
@@ -247,7 +247,7 @@
             self._taken_by = reporter
             self._taken.clear()
         self._taken = {
-            w for w in self._taken if w >= self._windows.oldest_kept(now)
+            w for w in self._taken if w >= self._windows.oldest_retained(now)
         }
         sent = [
             gatewaymessages.WindowCounts(
@@ -371,7 +371,7 @@
         self._outcomes[outcome] = self._outcomes.get(outcome, 0) + 1
         if record is None:
             return
-        self._reports.note_tried(record.window, self._now)
+        self._reports.record_attempt(record.window, self._now)
         if self.reports_itself:
             self._announce()
         self._log.note(
--- a/packages/bulrushgrade_daemon/tests/test_choosing.py
+++ b/packages/bulrushgrade_daemon/tests/test_choosing.py
@@ -25,7 +25,7 @@
     memory_tokens=100_000,
     token_bytes=1_000,
     link_bytes_per_s=1e9,
-    handle_s=5.0,
+    kv_handle_ttl_s=5.0,
     stage_change_s=3.0,
 )
 
@@ -230,8 +230,8 @@
     request = make_request(tokens=30_000, route=DRAFTS)
     scene.choose(request)
     assert request.plan.first_s > DRAFTS.target_s
-    assert request.urgency == routing.LEAST_URGENT
-    assert request.describe_plan()["urgency"] == routing.LEAST_URGENT
+    assert request.urgency == routing.LOWEST_URGENCY
+    assert request.describe_plan()["urgency"] == routing.LOWEST_URGENCY
     early = make_request(tokens=3_000, route=DRAFTS)
     scene.choose(early)
     assert early.urgency == DRAFTS.urgency
--- a/packages/bulrushgrade_daemon/tests/test_crashsharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashsharing.py
@@ -3,7 +3,7 @@
 import fakes
 from returns.result import Failure
 from returns.result import Success
-from test_crashledger import sight
+from test_crashledger import involve
 from test_crashrecords import make_record
 from test_directory import make as make_registration
 
@@ -217,7 +217,7 @@
     assert host.topic.records == {}
 
 
-def test_sighting_that_the_store_lost_is_written_again():
+def test_involvement_that_the_store_lost_is_written_again():
     """The store came back without the last seconds of a topic."""
     host = Host()
     host.sharing.take_crash(make_crash("e1", "bad"))
@@ -232,7 +232,7 @@
     for leads in (True, False):
         host = Host(leads=leads)
         host.sharing.take_crash(make_crash("e1", "good"))
-        host.pass_time(crashledger.SUSPECT_S + crashsharing.EXPIRE_PERIOD_S)
+        host.pass_time(crashledger.CRASH_TTL_S + crashsharing.EXPIRE_PERIOD_S)
         assert len(host.ledger) == 0
         assert len(host.topic.records) == (0 if leads else 1)
 
@@ -243,7 +243,7 @@
         (
             topicreader.KeyedRecord(key="odd", value=b"x"),
             topicreader.KeyedRecord(key="odd", value=None),
-            make_record(sight("good", "e1")),
+            make_record(involve("good", "e1")),
         )
     )
     assert len(host.ledger) == 1
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -4,7 +4,7 @@
 
 import attrs
 import fakes
-from test_crashledger import sight
+from test_crashledger import involve
 from test_directory import make as make_registration
 from test_inflight import ROUTE
 from twisted.internet import defer
@@ -91,10 +91,10 @@
         self.noted.append(request.endpoint.id)
         if self.is_crash:
             endpoint = request.endpoint
-            sighting = sight(
+            involvement = involve(
                 request.fingerprint, endpoint.id, zone=endpoint.zone
             )
-            self._ledger.take(sighting, now=0.0)
+            self._ledger.take(involvement, now=0.0)
 
     async def settle(self, endpoint):
         """Has nothing to wait for."""
@@ -226,7 +226,7 @@
 
 def test_next_try_of_a_caller_avoids_the_zones_of_earlier_ones():
     scene = Scene(LOST, LOST, LOST)
-    scene.ledger.take(sight(name_request(), "e9", zone="z9"), now=0.0)
+    scene.ledger.take(involve(name_request(), "e9", zone="z9"), now=0.0)
     scene.send()
     assert scene.avoided[0] == {"z9"}
 
@@ -246,7 +246,7 @@
     caller = scene.send()
     for number in range(3):
         scene.ledger.take(
-            sight(name_request(), f"e{number}", zone=f"z{number}"), now=0.0
+            involve(name_request(), f"e{number}", zone=f"z{number}"), now=0.0
         )
     assert caller.answers == []
     answer.callback(Answer())
--- a/packages/bulrushgrade_daemon/tests/test_peers.py
+++ b/packages/bulrushgrade_daemon/tests/test_peers.py
@@ -335,9 +335,9 @@
 
 def test_unlisted_daemon_turns_to_a_few_others():
     hosts = [make_entry(number) for number in range(20)]
-    ties = subset.Ties()
-    ties.update(hosts)
-    found = peermessages.list_peers(ties, hosts, "10.0.0.99:80")
+    subsets = subset.EndpointSubsets()
+    subsets.update(hosts)
+    found = peermessages.list_peers(subsets, hosts, "10.0.0.99:80")
     assert len(found) == peermessages.PEERS_TO_ASK
     assert all(peer.address.endswith(":70") for peer in found)
-    assert peermessages.list_peers(ties, hosts, "10.0.0.1:80") == ()
+    assert peermessages.list_peers(subsets, hosts, "10.0.0.1:80") == ()
--- a/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
+++ b/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
@@ -78,7 +78,7 @@
                     stageplan.EngineView(
                         engine=engine,
                         wait_s=self.waits_s.get(engine.id, 0.0),
-                        crowding=0.1,
+                        saturation=0.1,
                     )
                     for engine in ENGINES
                 ),
--- a/packages/bulrushgrade_daemon/tests/test_usagereporting.py
+++ b/packages/bulrushgrade_daemon/tests/test_usagereporting.py
@@ -16,7 +16,7 @@
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import usagereporting
 
-WINDOWS = usagewindows.Windows(window_s=5.0, late_s=10.0)
+WINDOWS = usagewindows.WindowSchedule(window_s=5.0, late_s=10.0)
 DEALER = workspaces.Workspace(name="dealer")
 LESSOR = workspaces.Workspace(name="lessor")
 STARTED_S = 1_700_000_000.0
--- a/tools/meshslopes.py
+++ b/tools/meshslopes.py
@@ -116,16 +116,16 @@
 
 
 def measure_meshes() -> list[dict[str, object]]:
-    """Measures ties, balance, churn, coverage and bytes at each size."""
+    """Measures subsets, balance, churn, coverage and bytes at each size."""
     return [_measure_mesh(size) for size in SIZES]
 
 
 def measure_subsets() -> list[dict[str, object]]:
     """Measures other sizes of subsets at the target."""
-    kept = subset.OWN_ZONE_TIES, subset.SPARE_TIES
+    kept = subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS
     rows = []
     for own, spare in ((4, 2), (8, 2), (8, 4), kept):
-        subset.OWN_ZONE_TIES, subset.SPARE_TIES = own, spare
+        subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS = own, spare
         found = _measure_mesh(SIZES[2])
         wanted = (
             "ties a daemon",
@@ -141,18 +141,18 @@
 
 def _measure_mesh(size: Size) -> dict[str, object]:
     hosts = make_hosts(size)
-    ties = subset.Ties()
+    subsets = subset.EndpointSubsets()
     own = hosts[0].address
 
     def follow(listed: list[membership.Host]) -> None:
-        ties.update(listed)
-        ties.find_peers(own)
+        subsets.update(listed)
+        subsets.find_peers(own)
 
     first_us = slope.time_us(lambda: _follow_anew(hosts, own))
     follow(hosts)
     daemons = [h.address for h in hosts if h.kind is membership.Kind.ENTRY]
-    before = {daemon: ties.get_endpoints(daemon) for daemon in daemons}
-    peer_counts = [len(ties.find_peers(daemon)) for daemon in daemons]
+    before = {daemon: subsets.get_endpoints(daemon) for daemon in daemons}
+    peer_counts = [len(subsets.find_peers(daemon)) for daemon in daemons]
     tied = collections.Counter(e for x in before.values() for e in x)
     change_us = slope.time_us(lambda: (follow(hosts[:-1]), follow(hosts)))
     return {
@@ -164,23 +164,23 @@
             f"{min(tied.values())}-{max(tied.values())}"
             f" of {len(tied)} engines tied"
         ),
-        **_measure_churn(hosts, ties, before),
+        **_measure_churn(hosts, subsets, before),
         **_measure_loss(hosts, before),
         "ms for the first list": round(first_us / 1000, 2),
         "ms for a change of one host": round(change_us / 2000, 2),
-        "loads bytes/s": round(_count_loads_bytes(own, ties)),
+        "loads bytes/s": round(_count_loads_bytes(own, subsets)),
     }
 
 
 def _follow_anew(hosts: list[membership.Host], own: str) -> None:
-    ties = subset.Ties()
-    ties.update(hosts)
-    ties.find_peers(own)
+    subsets = subset.EndpointSubsets()
+    subsets.update(hosts)
+    subsets.find_peers(own)
 
 
 def _measure_churn(
     hosts: list[membership.Host],
-    ties: subset.Ties,
+    subsets: subset.EndpointSubsets,
     before: dict[str, frozenset[str]],
 ) -> dict[str, object]:
     """Counts the ties that are new after one host is gone."""
@@ -188,13 +188,13 @@
     moved = {}
     for kind in (membership.Kind.ENGINE, membership.Kind.ENTRY):
         gone = rng.choice([host for host in hosts if host.kind is kind])
-        ties.update([host for host in hosts if host is not gone])
+        subsets.update([host for host in hosts if host is not gone])
         moved[kind] = sum(
-            len(ties.get_endpoints(daemon) - tied)
+            len(subsets.get_endpoints(daemon) - tied)
             for daemon, tied in before.items()
             if daemon != gone.address
         )
-    ties.update(hosts)
+    subsets.update(hosts)
     return {
         "new ties for a lost engine": moved[membership.Kind.ENGINE],
         "for a lost daemon": moved[membership.Kind.ENTRY],
@@ -210,7 +210,7 @@
     left = [host for host in hosts if host.zone != lost]
     service_of = {h.address: h.service for h in left if h.service}
     services = set(service_of.values())
-    after = subset.Ties()
+    after = subset.EndpointSubsets()
     after.update(left)
     fewest = {"before": [], "after": []}
     for host in left:
@@ -249,14 +249,14 @@
     )
 
 
-def _count_loads_bytes(own: str, ties: subset.Ties) -> float:
+def _count_loads_bytes(own: str, subsets: subset.EndpointSubsets) -> float:
     """Returns the bytes a second of one busy daemon's unpaced loads."""
     rng = random.Random(1)
-    endpoints = sorted(ties.get_endpoints(own))
+    endpoints = sorted(subsets.get_endpoints(own))
     busy = set(rng.choices(endpoints, k=IN_FLIGHT))
     sizes = (
         len(peerview.serialize_message(make_loads(sorted(busy & shared))))
-        for shared in ties.find_peers(own).values()
+        for shared in subsets.find_peers(own).values()
     )
     return sum(sizes) / peers.LOADS_PERIOD_S
 
