--- a/packages/bulrushgrade/bulrushgrade/capacityplan.py
+++ b/packages/bulrushgrade/bulrushgrade/capacityplan.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-REFUSED_S = 2.0
+REFUSAL_RETRY_S = 2.0
 """Before a zone that had no engines to give is asked again."""
 
 RETRY_S = 1.0
@@ -113,8 +113,8 @@
         self._refusing: set[Pool] = set()
         self._retry_at: dict[Pool, float] = {}
         self._total: int | None = None
-        self._same_since = 0.0
-        self._quiet_until = 0.0
+        self._total_stable_since = 0.0
+        self._paused_until = 0.0
 
     @property
     def needed(self) -> int | None:
@@ -135,13 +135,13 @@
         """Notes that a zone has no such engines to give now."""
         pool = order.zone, order.is_spot
         self._refusing.add(pool)
-        self._retry_at[pool] = now + REFUSED_S
+        self._retry_at[pool] = now + REFUSAL_RETRY_S
         self._ordered.pop(pool, None)
 
     def note_failure(self, order: CapacityRecord, now: float) -> None:
         """Notes that it is not known what came of an order."""
         self._ordered.pop((order.zone, order.is_spot), None)
-        self._quiet_until = now + RETRY_S
+        self._paused_until = now + RETRY_S
 
     def propose(self, view: CapacityView, now: float) -> CapacityRecord | None:
         """Returns the order that should be given now, or None."""
@@ -150,25 +150,25 @@
             return None
         if self._needed is None and not self._learn_needed(view, now):
             return None
-        if now < self._quiet_until:
+        if now < self._paused_until:
             return None
         targets = self._targets(view)
         # Zones that refused come last: they are only asked again.
         for pool in sorted(targets, key=self._refusing.__contains__):
             count = targets[pool]
-            if self._is_short(view, pool, count, now):
+            if self._has_shortage(view, pool, count, now):
                 return self._order(view, pool, count)
         for pool, count in targets.items():
-            if self._is_spare(view, pool, count):
+            if self._has_surplus(view, pool, count):
                 return self._order(view, pool, count)
         return None
 
     def _learn_needed(self, view: CapacityView, now: float) -> bool:
         """Takes the number that the operator has, once it stays the same."""
         if view.total != self._total:
-            self._total, self._same_since = view.total, now
+            self._total, self._total_stable_since = view.total, now
             return False
-        if now - self._same_since < view.settle_s or not view.total:
+        if now - self._total_stable_since < view.settle_s or not view.total:
             return False
         self._needed = view.total
         return True
@@ -210,7 +210,7 @@
         reserve = math.ceil(self._needed / (zones - 1))
         return max(math.floor(paid_for / zones), reserve)
 
-    def _is_short(
+    def _has_shortage(
         self, view: CapacityView, pool: Pool, count: int, now: float
     ) -> bool:
         """Returns whether a pool has too few, with none on the way."""
@@ -224,7 +224,7 @@
         coming_s = view.scaling.boot_s + view.settle_s
         return now - ordered.at > coming_s
 
-    def _is_spare(self, view: CapacityView, pool: Pool, count: int) -> bool:
+    def _has_surplus(self, view: CapacityView, pool: Pool, count: int) -> bool:
         """Returns whether a pool can give engines up."""
         running = view.running.get(pool, 0)
         if running <= count:
--- a/packages/bulrushgrade/bulrushgrade/crashledger.py
+++ b/packages/bulrushgrade/bulrushgrade/crashledger.py
@@ -22,11 +22,11 @@
 
 import attrs
 
-LEAST_CRASHES = 3
+MIN_CRASHES = 3
 """Crashes of a request that is quarantined. Requests that are moved together
 from one endpoint to the next can't be told apart by fewer."""
 
-LEAST_CRASHES_REPEATED = 2
+MIN_CRASHES_REPEATED = 2
 """The same, for a caller that has several quarantined requests already."""
 
 REPEATED_REQUESTS = 2
@@ -51,7 +51,7 @@
 caller can fill the memory of the hosts. The oldest give way, those of
 quarantined requests last."""
 
-MOST_DOUBLED = math.ceil(math.log2(MAX_QUARANTINE_S / QUARANTINE_S))
+MAX_DOUBLINGS = math.ceil(math.log2(MAX_QUARANTINE_S / QUARANTINE_S))
 """Times that it is doubled until it is as long."""
 
 Incarnation = tuple[str, int]
@@ -120,8 +120,8 @@
             return
         entry = _Entry(involvement=involvement, since=now)
         self._entries[involvement.key] = entry
-        its = self._by_request.setdefault(involvement.fingerprint, {})
-        its[involvement.endpoint] = entry
+        entries = self._by_request.setdefault(involvement.fingerprint, {})
+        entries[involvement.endpoint] = entry
         self._blamed = None
 
     def drop(self, key: Key) -> None:
@@ -129,9 +129,9 @@
         if self._entries.pop(key, None) is None:
             return
         fingerprint, endpoint = key
-        its = self._by_request[fingerprint]
-        del its[endpoint]
-        if not its:
+        entries = self._by_request[fingerprint]
+        del entries[endpoint]
+        if not entries:
             del self._by_request[fingerprint]
         self._blamed = None
 
@@ -167,8 +167,8 @@
 
     def involvements(self, fingerprint: str) -> list[Involvement]:
         """Returns where a request was when endpoints crashed."""
-        its = self._by_request.get(fingerprint, {})
-        return [entry.involvement for entry in its.values()]
+        entries = self._by_request.get(fingerprint, {})
+        return [entry.involvement for entry in entries.values()]
 
     def zones(self, fingerprint: str) -> frozenset[str]:
         """Returns the availability zones in which endpoints crashed with it."""
@@ -191,62 +191,66 @@
         if enough is None:
             return 0.0
         more = len(self._by_request[fingerprint]) - enough
-        doubled_s = QUARANTINE_S * 2 ** min(more, MOST_DOUBLED)
+        doubled_s = QUARANTINE_S * 2 ** min(more, MAX_DOUBLINGS)
         return min(doubled_s, MAX_QUARANTINE_S)
 
     def _find_blamed(self) -> dict[str, int]:
         """Returns the requests to blame, with the crashes that were enough."""
         if self._blamed is None:
-            found = self._judge(self._by_request, LEAST_CRASHES)
+            found = self._select_blamed(self._by_request, MIN_CRASHES)
             by_caller = collections.Counter(map(self._caller, found))
             of_repeated = [
                 fingerprint
                 for fingerprint in self._by_request
                 if by_caller[self._caller(fingerprint)] >= REPEATED_REQUESTS
             ]
-            self._blamed = self._judge(of_repeated, LEAST_CRASHES_REPEATED)
+            self._blamed = self._select_blamed(
+                of_repeated, MIN_CRASHES_REPEATED
+            )
             self._blamed |= found
         return self._blamed
 
-    def _judge(self, requests: Iterable[str], least: int) -> dict[str, int]:
+    def _select_blamed(
+        self, requests: Iterable[str], least: int
+    ) -> dict[str, int]:
         found = {}
         for fingerprint in requests:
             crashes = len(self._by_request[fingerprint])
             if crashes >= least:
-                needed = self._needed(fingerprint, least)
+                needed = self._crashes_needed(fingerprint, least)
                 if crashes >= needed:
                     found[fingerprint] = needed
         return found
 
-    def _needed(self, fingerprint: str, least: int) -> int:
+    def _crashes_needed(self, fingerprint: str, least: int) -> int:
         """Returns how many crashes of a request are enough to blame it."""
         begun = sum(s.has_begun for s in self.involvements(fingerprint))
         needed = least
         if begun < least - 1:
             needed += 1
-        if self._may_be_the_zone(fingerprint):
+        if self._may_be_zone_failure(fingerprint):
             needed += 1
         return needed
 
-    def _may_be_the_zone(self, fingerprint: str) -> bool:
+    def _may_be_zone_failure(self, fingerprint: str) -> bool:
         """Returns whether a zone's failure may explain a request's crashes."""
         zones = self.zones(fingerprint)
         if len(zones) > 1:
             return False
-        its = self._by_request[fingerprint]
-        times = [entry.since for entry in its.values()]
+        entries = self._by_request[fingerprint]
+        times = [entry.since for entry in entries.values()]
         first, last = min(times), max(times)
         return any(
             entry.involvement.zone in zones
-            and endpoint not in its
+            and endpoint not in entries
             and first - ZONE_FAILURE_S <= entry.since <= last + ZONE_FAILURE_S
             for (_, endpoint), entry in self._entries.items()
         )
 
     def _last_crash(self, fingerprint: str) -> float:
-        its = self._by_request[fingerprint].values()
-        return max(entry.since for entry in its)
+        entries = self._by_request[fingerprint].values()
+        return max(entry.since for entry in entries)
 
     def _caller(self, fingerprint: str) -> str:
-        its = self._by_request[fingerprint]
-        return next(iter(its.values())).involvement.caller
+        entries = self._by_request[fingerprint]
+        return next(iter(entries.values())).involvement.caller
--- a/packages/bulrushgrade/bulrushgrade/fleetmembers.py
+++ b/packages/bulrushgrade/bulrushgrade/fleetmembers.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Listed:
+class _MemberList:
     at: float
     number: int
     names: frozenset[str]
@@ -34,7 +34,7 @@
         self._own_name = own_name
         self._heard: dict[str, float] = {}
         # By who hears them and the part of its list.
-        self._lists: dict[tuple[str, int], _Listed] = {}
+        self._lists: dict[tuple[str, int], _MemberList] = {}
         self._unable: set[str] = set()
         self._excluded: dict[str, float] = {}
 
@@ -72,7 +72,7 @@
         known = self._lists.get((by, part))
         if known is not None and number <= known.number:
             return
-        self._lists[by, part] = _Listed(
+        self._lists[by, part] = _MemberList(
             at=now,
             number=number,
             names=frozenset(names),
--- a/packages/bulrushgrade/bulrushgrade/membership.py
+++ b/packages/bulrushgrade/bulrushgrade/membership.py
@@ -120,7 +120,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Sight:
+class _Observations:
     """What this process saw of one host."""
 
     failures: int = 0
@@ -135,7 +135,7 @@
         self._version: int | None = None
         self._read_at = -math.inf
         self._hosts: dict[str, Host] = {}
-        self._sights: dict[str, _Sight] = {}
+        self._observations: dict[str, _Observations] = {}
 
     @property
     def version(self) -> int | None:
@@ -178,7 +178,7 @@
         self._version = host_list.version
         self._hosts = new
         for address in old.keys() - new.keys():
-            self._sights.pop(address, None)
+            self._observations.pop(address, None)
         return Success(
             Change(
                 added=tuple(sorted(new.keys() - old.keys())),
@@ -189,15 +189,15 @@
 
     def observe_answer(self, address: str, *, now: float) -> None:
         """Notes that a host answered a call or a probe."""
-        sight = self._find_sight(address)
-        sight.failures = 0
-        sight.tried_at = now
+        observed = self._find_observations(address)
+        observed.failures = 0
+        observed.tried_at = now
 
     def observe_failure(self, address: str, *, now: float) -> None:
         """Notes that a call or a probe got no answer."""
-        sight = self._find_sight(address)
-        sight.failures += 1
-        sight.tried_at = now
+        observed = self._find_observations(address)
+        observed.failures += 1
+        observed.tried_at = now
 
     def observe_refusing(self, address: str, *, refuses: bool) -> None:
         """Notes whether a host itself says that it takes no new work.
@@ -205,17 +205,17 @@
         Only the host's own word clears this again: a list that still calls
         it live may just be late.
         """
-        self._find_sight(address).refuses = refuses
+        self._find_observations(address).refuses = refuses
 
     def get_state(self, address: str) -> State:
         """Returns what this process makes of a host."""
         host = self._hosts.get(address)
         if host is None:
             return State.GONE
-        sight = self._sights.get(address, _Sight())
-        if host.state is ListedState.LEAVING or sight.refuses:
+        observed = self._observations.get(address, _Observations())
+        if host.state is ListedState.LEAVING or observed.refuses:
             return State.LEAVING
-        if sight.failures >= SILENT_AFTER_FAILURES:
+        if observed.failures >= SILENT_AFTER_FAILURES:
             return State.SILENT
         return State.LIVE
 
@@ -227,7 +227,7 @@
         """Returns whether a silent host may be tried again."""
         if self.get_state(address) is not State.SILENT:
             return False
-        return now - self._sights[address].tried_at >= PROBE_PERIOD_S
+        return now - self._observations[address].tried_at >= PROBE_PERIOD_S
 
     def dump(self, *, now: float) -> dict[str, object]:
         """Returns the view for a person, ready for JSON."""
@@ -246,12 +246,12 @@
             },
         }
 
-    def _find_sight(self, address: str) -> _Sight:
+    def _find_observations(self, address: str) -> _Observations:
         # A late answer from a host that is no longer listed must not leave an
         # entry behind for good.
         if address not in self._hosts:
-            return _Sight()
-        return self._sights.setdefault(address, _Sight())
+            return _Observations()
+        return self._observations.setdefault(address, _Observations())
 
 
 def _leaving(hosts: dict[str, Host]) -> set[str]:
--- a/packages/bulrushgrade/bulrushgrade/peerview.py
+++ b/packages/bulrushgrade/bulrushgrade/peerview.py
@@ -20,7 +20,7 @@
 # How many earlier incarnations of a peer are remembered, to drop messages of
 # a process that has been replaced. Late messages come within seconds, and no
 # host restarts eight times in that.
-RETIRED_INCARNATIONS = 8
+MAX_RETIRED_INCARNATIONS = 8
 
 
 @attrs.frozen(kw_only=True)
@@ -174,15 +174,15 @@
 def _check_columns(message: Message) -> Result[Message, errors.BadRecord]:
     if not isinstance(message, Loads):
         return Success(message)
-    figures = (
+    checked = (
         message.running,
         message.prefill_backlog_tokens,
         message.kv_tokens,
     )
-    if any(len(column) != len(message.endpoints) for column in figures):
+    if any(len(column) != len(message.endpoints) for column in checked):
         return Failure(errors.BadRecord(reason="columns of unequal length"))
     # A load below zero would make a busy engine look idle to all its peers.
-    if any(value < 0 for column in figures for value in column):
+    if any(value < 0 for column in checked for value in column):
         return Failure(errors.BadRecord(reason="a load below zero"))
     return Success(message)
 
@@ -233,7 +233,7 @@
             retired = (peer.incarnation, *peer.retired)
             peer = _Peer(
                 incarnation=header.incarnation,
-                retired=retired[:RETIRED_INCARNATIONS],
+                retired=retired[:MAX_RETIRED_INCARNATIONS],
             )
             self._peers[header.sender] = peer
         # Counted a kind of message: a late one of one kind may still be the
--- a/packages/bulrushgrade/bulrushgrade/rolechange.py
+++ b/packages/bulrushgrade/bulrushgrade/rolechange.py
@@ -149,8 +149,8 @@
         self._can_refuse = can_refuse
         self._times = times
         self._phase = _PHASES(object())
-        self._since = now
-        self._asked_at: float | None = None
+        self._phase_since = now
+        self._drain_requested_at: float | None = None
         self._dropped_at: float | None = None
         self._refusing = False
         self._refusing_at: float | None = None
@@ -191,7 +191,7 @@
             return 1.0
         if phase != "warming":
             return 0.0
-        return min(1.0, (now - self._since) / self._times.slow_start_s)
+        return min(1.0, (now - self._phase_since) / self._times.slow_start_s)
 
     def overdue(self, now: float) -> bool:
         """Whether a phase takes longer than it should, for the operators.
@@ -205,7 +205,7 @@
             "ordering": self._times.order_limit_s,
         }
         limit_s = limits_s.get(self.phase)
-        return limit_s is not None and now >= self._since + limit_s
+        return limit_s is not None and now >= self._phase_since + limit_s
 
     def note_views(self, *, all_dropped: bool, now: float) -> None:
         """Takes whether every known daemon says that it dropped the engine."""
@@ -234,7 +234,7 @@
         if self.phase == "ordering":
             self._outcome = seen
             self._phase.ended()
-            self._since = now
+            self._phase_since = now
 
     def abort(self, now: float) -> None:
         """Gives the change up, where that is still possible.
@@ -247,7 +247,7 @@
             phase != "ordering" or self._proposed
         ):
             return
-        if self._asked_at is not None or self._refusing:
+        if self._drain_requested_at is not None or self._refusing:
             self._target = self._before
         else:
             self._move(self._phase.aborted, now)
@@ -282,28 +282,28 @@
             return None
         # Drain is asked for when the daemons have dropped the engine, so that
         # few requests bounce; or when one is silent for too long.
-        if phase == "releasing" and not self._drop_is_overdue(now):
+        if phase == "releasing" and not self._is_drop_overdue(now):
             return None
-        if self._asked_at is not None and (
-            now < self._asked_at + self._times.retry_s
+        if self._drain_requested_at is not None and (
+            now < self._drain_requested_at + self._times.retry_s
         ):
             return None
-        self._asked_at = now
+        self._drain_requested_at = now
         return Action.ASK_DRAIN
 
-    def _drop_is_overdue(self, now: float) -> bool:
-        return now >= self._since + self._times.drop_limit_s
+    def _is_drop_overdue(self, now: float) -> bool:
+        return now >= self._phase_since + self._times.drop_limit_s
 
     def _release(self, now: float) -> None:
         if self._refusing or self._dropped_at is not None:
             self._move(self._phase.released, now)
-        elif self._drop_is_overdue(now) and not self._can_refuse:
+        elif self._is_drop_overdue(now) and not self._can_refuse:
             self.abort(now)
 
     def _empty(self, now: float) -> None:
         if self._is_empty():
             self._move(self._phase.emptied, now)
-        elif self._asked_at is None and self.overdue(now):
+        elif self._drain_requested_at is None and self.overdue(now):
             self.abort(now)
 
     def _is_empty(self) -> bool:
@@ -317,4 +317,4 @@
 
     def _move(self, transition, now: float) -> None:
         transition()
-        self._since = now
+        self._phase_since = now
--- a/packages/bulrushgrade/bulrushgrade/roleplan.py
+++ b/packages/bulrushgrade/bulrushgrade/roleplan.py
@@ -26,22 +26,22 @@
 """Full buckets before the first change: one could be a burst, and caches that
 are still cold make reading look dearer than it will be."""
 
-SHORT_BUCKETS = 3
+RECENT_BUCKETS = 3
 """Buckets of the short window: a change must help in each of them as well as
 over the long one, else it would come for a swing that is already over."""
 
 HORIZON_S = 120.0
 """How long a change is trusted to help: past it the mix is anyone's guess."""
 
-UTILIZATION = 0.95
+MAX_UTILIZATION = 0.95
 """Part of an engine's time that can be used while answers stay in time; the
 rest is waiting for work that has not arrived."""
 
-MEMORY_PART = 0.7
+USABLE_MEMORY_FRACTION = 0.7
 """Part of the KV memory that can be used: it is given out in pieces of whole
 prompts, and promised while a prompt is still being read elsewhere."""
 
-MIXED_PART = 0.9
+MIXED_EFFICIENCY = 0.9
 """What a mixed engine gets done against two that keep to one kind: its
 reading goes in chunks beside its answers."""
 
@@ -53,14 +53,14 @@
 """Seconds of an engine that a change takes: its drain, in which it empties,
 the change itself, and the refilling of its prefix cache."""
 
-DWELL_S = 40.0
+MIN_DWELL_S = 40.0
 """An engine that has just changed stays: each change drops its cache."""
 
-GAP_S = 10.0
+MIN_CHANGE_INTERVAL_S = 10.0
 """Between two changes of a group: the effect of the first must show in the
 demand and loads before the next is judged."""
 
-LONGEST_S = 90.0
+MAX_CHANGE_S = 90.0
 """A change that takes longer than this, drain included, has failed."""
 
 MAX_VIEW_AGE_S = 3.0
@@ -118,7 +118,7 @@
         counts[new.value] += 1
         return _Split(**counts)
 
-    def loss(self, reading: float, answering: float) -> float:
+    def unserved_engines(self, reading: float, answering: float) -> float:
         """Returns the engines' worth of demand that is not served.
 
         Args:
@@ -127,7 +127,7 @@
         """
         over = max(0.0, reading - self.prefill)
         over += max(0.0, answering - self.decode)
-        return max(0.0, over - self.mixed * MIXED_PART)
+        return max(0.0, over - self.mixed * MIXED_EFFICIENCY)
 
 
 class RolePlan:
@@ -157,7 +157,7 @@
         # the document's weight for role changes comes on top.
         self._cost_s = CHANGE_S * (1.0 + role_change_weight / goodput_weight)
         self._floor = floor
-        self._seen: dict[str, work.Demand] = {}
+        self._last_demands: dict[str, work.Demand] = {}
         self._buckets: collections.deque[list[float]] = collections.deque()
         self._changed_at: dict[str, float] = {}
         self._last_change = -1e9
@@ -171,8 +171,8 @@
                 mean that it started anew.
             now: The present time.
         """
-        before = self._seen.get(host)
-        self._seen[host] = demand
+        before = self._last_demands.get(host)
+        self._last_demands[host] = demand
         if before is None or before.output_tokens > demand.output_tokens:
             return
         start = now // BUCKET_S * BUCKET_S
@@ -193,15 +193,20 @@
             view: The group; it is not acted on when it is stale.
             now: The present time.
         """
-        if now - view.at > MAX_VIEW_AGE_S or now - self._last_change < GAP_S:
+        if (
+            now - view.at > MAX_VIEW_AGE_S
+            or now - self._last_change < MIN_CHANGE_INTERVAL_S
+        ):
             return None
         demands = self._demands(view, now)
         serving = [
-            e for e in view.endpoints if _in(e, work.EndpointState.SERVING)
+            e
+            for e in view.endpoints
+            if _is_in_state(e, work.EndpointState.SERVING)
         ]
-        if len(demands) < MIN_BUCKETS or self._under_way(view, now):
+        if len(demands) < MIN_BUCKETS or self._is_change_running(view, now):
             return None
-        split = _split(serving)
+        split = _count_roles(serving)
         best = None
         for old in work.Role:
             for new in work.Role:
@@ -209,7 +214,9 @@
                 if old is new or candidate is None:
                     continue
                 after = split.moved(old, new)
-                if self._under_floor(after) and not self._under_floor(split):
+                if self._is_below_floor(after) and not self._is_below_floor(
+                    split
+                ):
                     continue
                 gain = _gain_s(split, after, demands)
                 if best is None or gain > best.gain_s:
@@ -233,7 +240,7 @@
     ) -> list[tuple[float, float, float]]:
         """Demand and loss of the full buckets in engines, the newest last."""
         found = []
-        per_s = 1.0 / (BUCKET_S * UTILIZATION)
+        per_s = 1.0 / (BUCKET_S * MAX_UTILIZATION)
         memory = min((e.kv_capacity_tokens for e in view.endpoints), default=0)
         for start, read, answered, held, lost in self._buckets:
             if start + BUCKET_S > now:
@@ -243,7 +250,7 @@
             # Answers to long prompts fill an engine's memory long before its
             # time: by tokens alone one engine would seem to be enough.
             if memory:
-                held_part = held / BUCKET_S / (MEMORY_PART * memory)
+                held_part = held / BUCKET_S / (USABLE_MEMORY_FRACTION * memory)
                 answering = max(answering, held_part)
             found.append((reading, answering, lost / BUCKET_S))
         return found
@@ -260,18 +267,18 @@
             (running.get(e.address, 0.0), e.address)
             for e in serving
             if e.role is role
-            and now - self._changed_at.get(e.address, -1e9) >= DWELL_S
+            and now - self._changed_at.get(e.address, -1e9) >= MIN_DWELL_S
         ]
         return min(free)[1] if free else None
 
-    def _under_floor(self, split: _Split) -> bool:
+    def _is_below_floor(self, split: _Split) -> bool:
         readers = split.prefill + split.mixed
         answerers = split.decode + split.mixed
         engines = split.prefill + answerers
         floor = max(1, min(self._floor, engines // 2))
         return min(readers, answerers) < floor
 
-    def _under_way(self, view: GroupView, now: float) -> bool:
+    def _is_change_running(self, view: GroupView, now: float) -> bool:
         """Whether an engine is still away for a change.
 
         An engine that is leaving for good must not hold up the plan until
@@ -279,20 +286,20 @@
         say that they are changing, count.
         """
         return any(
-            _in(e, work.EndpointState.CHANGING)
+            _is_in_state(e, work.EndpointState.CHANGING)
             or (
-                _in(e, work.EndpointState.LEAVING)
-                and now - self._changed_at.get(e.address, -1e9) < LONGEST_S
+                _is_in_state(e, work.EndpointState.LEAVING)
+                and now - self._changed_at.get(e.address, -1e9) < MAX_CHANGE_S
             )
             for e in view.endpoints
         )
 
 
-def _in(endpoint: work.Endpoint, *states: work.EndpointState) -> bool:
+def _is_in_state(endpoint: work.Endpoint, *states: work.EndpointState) -> bool:
     return endpoint.state in states
 
 
-def _split(endpoints: Iterable[work.Endpoint]) -> _Split:
+def _count_roles(endpoints: Iterable[work.Endpoint]) -> _Split:
     counts = collections.Counter(e.role for e in endpoints)
     return _Split(
         counts[work.Role.PREFILL],
@@ -310,11 +317,12 @@
     # what the model of the fleet says, which knows no queues and no caches.
     gains = [
         min(
-            before.loss(reading, answering) - after.loss(reading, answering),
+            before.unserved_engines(reading, answering)
+            - after.unserved_engines(reading, answering),
             lost,
         )
         for reading, answering, lost in demands
     ]
-    short = gains[-SHORT_BUCKETS:]
+    short = gains[-RECENT_BUCKETS:]
     mean = sum(gains) / len(gains)
     return HORIZON_S * min(mean, *short)
--- a/packages/bulrushgrade/bulrushgrade/routing.py
+++ b/packages/bulrushgrade/bulrushgrade/routing.py
@@ -12,7 +12,7 @@
 from bulrushgrade import capacityplan
 from bulrushgrade import workspaces as workspaces_module
 
-LONG_SHARE = 1 / 400
+LONG_PROMPT_FRACTION = 1 / 400
 """Of an engine's memory, from which on a prompt or its shared parts count as
 long: worth keeping in one place, and worth a query before they are placed. A
 few hundred of them fill a memory, so that parts push each other out; reading
@@ -22,7 +22,7 @@
 """The largest urgency that engines know: that of work which lets all other go
 first."""
 
-LEAST_PATIENCE_S = 2.0
+MIN_PATIENCE_S = 2.0
 PATIENCE_TARGETS = 4.0
 PATIENCE_GAPS = 8.0
 """How long callers of a stream wait for the next event before they leave: two
@@ -103,7 +103,7 @@
         if self.kind is not RequestKind.STREAM:
             return self.timeout_s
         return max(
-            LEAST_PATIENCE_S,
+            MIN_PATIENCE_S,
             PATIENCE_TARGETS * self.target_s,
             PATIENCE_GAPS * (self.gap_s or 0.0),
         )
@@ -134,7 +134,7 @@
     @property
     def long_tokens(self) -> float:
         """Tokens from which on a prompt or a part counts as long."""
-        return LONG_SHARE * self.memory_tokens
+        return LONG_PROMPT_FRACTION * self.memory_tokens
 
 
 @attrs.frozen(kw_only=True)
@@ -217,7 +217,7 @@
         self._by_host: dict[str, dict[str, Route]] = {}
         self._limits: dict[str, ServiceLimits] = {}
         # By route and workspace priority.
-        self._ranked: dict[tuple[str, int], Route] = {}
+        self._by_priority: dict[tuple[str, int], Route] = {}
         for route in configuration.routes:
             prefixes = self._by_host.setdefault(route.hostname, {})
             prefixes[route.path_prefix] = route
@@ -262,11 +262,11 @@
         if workspace is None or workspace.priority in (None, route.priority):
             return route
         key = route.name, workspace.priority
-        ranked = self._ranked.get(key)
-        if ranked is None:
-            ranked = attrs.evolve(route, priority=workspace.priority)
-            self._ranked[key] = ranked
-        return ranked
+        prioritized = self._by_priority.get(key)
+        if prioritized is None:
+            prioritized = attrs.evolve(route, priority=workspace.priority)
+            self._by_priority[key] = prioritized
+        return prioritized
 
     def _note_limits(self, route: Route) -> None:
         keys = self._configuration.keys
--- a/packages/bulrushgrade/bulrushgrade/stageplan.py
+++ b/packages/bulrushgrade/bulrushgrade/stageplan.py
@@ -16,40 +16,40 @@
 
 from bulrushgrade import directory
 
-READ_PRESSURE = 0.5
+PREFILL_WAIT_THRESHOLD = 0.5
 """Mean wait at the engines that read, in targets of the slowest route, from
 which on there are too few of them: half of the time to a first event is gone
 before its prompt is read."""
 
-CROWDED = 0.8
+SATURATION_THRESHOLD = 0.8
 """Mean saturation of the engines that generate from which on there are too few
 of them: what is known is a moment old, and streams grow while they run."""
 
-ROOM = CROWDED / 2
+MAX_REMAINING_SATURATION = SATURATION_THRESHOLD / 2
 """Mean saturation that the engines that go on generating may have without the
 one that changes: a burst doubles what is generated."""
 
-MOST = 2.0
+MAX_ENGINE_LOAD = 2.0
 """Crowding, and wait in the same targets, that one engine counts with at most.
 An engine that hangs or was lost shows more the longer it lasts, and would call
 for a change by itself."""
 
-MISSED_LESS = 0.5
+MAX_WAIT_PER_SATURATION = 0.5
 """Wait at the engines that read, in the same targets and without the one that
 changes, against the saturation that it is to end: an answer is late by a wait
 of one target as it is by a saturation of one, and half of that may be wrong."""
 
-SMOOTH_CHANGES = 1.0
+SMOOTHING_CHANGES = 1.0
 """Time constant of both means, in changes of role: a pressure that passes
 sooner is over before a change that it asks for, and loads that alternate
 faster than an engine can change change nothing."""
 
-LEAST_GENERATING = 3
+MIN_DECODE_ENGINES = 3
 """In any fleet, or all but one. With two, one that crashes while the other
 leaves or changes ends all answers for the seconds that a change back
 takes."""
 
-ENGINES_A_CHANGE = 4
+ENGINES_PER_CHANGE = 4
 """Engines for each change that may be under way: one at a time would take
 longer than the load that asks for it where there are many."""
 
@@ -118,9 +118,9 @@
         """
         self._check_s = check_s
         self._wait_s = 0.0
-        self._crowding = 0.0
+        self._saturation = 0.0
         self._seen_at: float | None = None
-        self._quiet_until = 0.0
+        self._paused_until = 0.0
         self._skip_until: dict[str, float] = {}
 
     @property
@@ -131,7 +131,7 @@
     @property
     def saturation(self) -> float:
         """The smoothed mean saturation of the engines that generate."""
-        return self._crowding
+        return self._saturation
 
     def note_change(self, view: ServiceView, now: float) -> None:
         """Notes that a change was ordered; the next waits until it settled.
@@ -140,9 +140,9 @@
             view: What the change was proposed from.
             now: The present time in seconds.
         """
-        at_a_time = max(1, len(view.engines) // ENGINES_A_CHANGE)
+        at_a_time = max(1, len(view.engines) // ENGINES_PER_CHANGE)
         settled_s = view.change_s + view.settle_s
-        self._quiet_until = now + settled_s / at_a_time
+        self._paused_until = now + settled_s / at_a_time
         if at_a_time == 1:
             # The queues of before say nothing of the fleet as it is now.
             self._wait_s = 0.0
@@ -152,70 +152,76 @@
 
         It may have crashed, or carry out another one.
         """
-        self._quiet_until = now + RETRY_CHECKS * self._check_s
+        self._paused_until = now + RETRY_CHECKS * self._check_s
         skip_s = view.change_s + view.settle_s
         self._skip_until[engine] = now + skip_s
 
     def propose(self, view: ServiceView, now: float) -> StageChange | None:
         """Returns the change that should be made now, or None."""
-        readers = _of_stage(view, directory.Stage.PREFILL)
-        makers = _of_stage(view, directory.Stage.DECODE)
-        self._smooth(view, readers, makers, now)
-        if now < self._quiet_until:
+        prefillers = _of_stage(view, directory.Stage.PREFILL)
+        decoders = _of_stage(view, directory.Stage.DECODE)
+        self._smooth(view, prefillers, decoders, now)
+        if now < self._paused_until:
             return None
-        if not makers and len(readers) > 1:
-            return self._to_generating(readers, "none generates", now)
-        if self._may_read_more(view, readers, makers):
+        if not decoders and len(prefillers) > 1:
+            return self._propose_decoder(prefillers, "none generates", now)
+        if self._can_add_prefiller(view, prefillers, decoders):
             reason = f"prompts wait {self._wait_s:.2f} s"
-            return self._to_reading(makers, reason, now)
-        if self._may_generate_more(view, len(readers)):
-            reason = f"generating engines are taken to {self._crowding:.2f}"
-            return self._to_generating(readers, reason, now)
+            return self._propose_prefiller(decoders, reason, now)
+        if self._can_add_decoder(view, len(prefillers)):
+            reason = f"generating engines are taken to {self._saturation:.2f}"
+            return self._propose_decoder(prefillers, reason, now)
         return None
 
-    def _may_read_more(
+    def _can_add_prefiller(
         self,
         view: ServiceView,
-        readers: list[EngineView],
-        makers: list[EngineView],
+        prefillers: list[EngineView],
+        decoders: list[EngineView],
     ) -> bool:
         """Returns whether generating engines can give one up to reading."""
-        count = len(makers)
-        if count <= max(1, min(LEAST_GENERATING, len(readers) + count - 1)):
+        count = len(decoders)
+        if count <= max(
+            1, min(MIN_DECODE_ENGINES, len(prefillers) + count - 1)
+        ):
             return False
-        if self._wait_s <= READ_PRESSURE * view.target_s:
+        if self._wait_s <= PREFILL_WAIT_THRESHOLD * view.target_s:
             return False
         # Crowded at this moment is crowded, whatever it was before.
-        saturation = max(self._crowding, _mean_crowding(makers))
-        return saturation * count / (count - 1) <= ROOM
+        saturation = max(self._saturation, _mean_saturation(decoders))
+        return saturation * count / (count - 1) <= MAX_REMAINING_SATURATION
 
-    def _may_generate_more(self, view: ServiceView, readers: int) -> bool:
+    def _can_add_decoder(self, view: ServiceView, prefillers: int) -> bool:
         """Returns whether reading engines can give one up to generating."""
-        if readers < 2 or self._crowding <= CROWDED:
+        if prefillers < 2 or self._saturation <= SATURATION_THRESHOLD:
             return False
         # Queues grow faster than the work that each of the others gets.
-        wait_s = self._wait_s * (readers / (readers - 1)) ** 2
-        return wait_s <= MISSED_LESS * self._crowding * view.target_s
+        wait_s = self._wait_s * (prefillers / (prefillers - 1)) ** 2
+        return (
+            wait_s <= MAX_WAIT_PER_SATURATION * self._saturation * view.target_s
+        )
 
-    def _to_reading(
-        self, makers: list[EngineView], reason: str, now: float
+    def _propose_prefiller(
+        self, decoders: list[EngineView], reason: str, now: float
     ) -> StageChange | None:
         def load(view: EngineView) -> tuple[float, float, str]:
             return view.saturation, view.wait_s, view.engine.id
 
         stage = directory.Stage.PREFILL
-        return self._change(sorted(makers, key=load), stage, reason, now)
+        return self._pick_engine(sorted(decoders, key=load), stage, reason, now)
 
-    def _to_generating(
-        self, readers: list[EngineView], reason: str, now: float
+    def _propose_decoder(
+        self, prefillers: list[EngineView], reason: str, now: float
     ) -> StageChange | None:
         def load(view: EngineView) -> tuple[float, str]:
             return view.wait_s, view.engine.id
 
         stage = directory.Stage.DECODE
-        return self._change(sorted(readers, key=load), stage, reason, now)
+        return self._pick_engine(
+            sorted(prefillers, key=load), stage, reason, now
+        )
 
-    def _change(
+    def _pick_engine(
         self,
         ranked: list[EngineView],
         stage: directory.Stage,
@@ -232,30 +238,32 @@
     def _smooth(
         self,
         view: ServiceView,
-        readers: list[EngineView],
-        makers: list[EngineView],
+        prefillers: list[EngineView],
+        decoders: list[EngineView],
         now: float,
     ) -> None:
         before, self._seen_at = self._seen_at, now
         if before is None:
             return
-        constant_s = max(SMOOTH_CHANGES * view.change_s, now - before)
+        constant_s = max(SMOOTHING_CHANGES * view.change_s, now - before)
         weight = 1.0 - math.exp((before - now) / constant_s)
-        longest_s = MOST * view.target_s
+        longest_s = MAX_ENGINE_LOAD * view.target_s
         wait_s = _mean(
-            [min(engine.wait_s, longest_s) for engine in readers or makers]
+            [min(engine.wait_s, longest_s) for engine in prefillers or decoders]
         )
-        saturation = _mean_crowding(makers)
+        saturation = _mean_saturation(decoders)
         self._wait_s += weight * (wait_s - self._wait_s)
-        self._crowding += weight * (saturation - self._crowding)
+        self._saturation += weight * (saturation - self._saturation)
 
 
 def _of_stage(view: ServiceView, stage: directory.Stage) -> list[EngineView]:
     return [found for found in view.engines if found.engine.stage is stage]
 
 
-def _mean_crowding(makers: list[EngineView]) -> float:
-    return _mean([min(engine.saturation, MOST) for engine in makers])
+def _mean_saturation(decoders: list[EngineView]) -> float:
+    return _mean(
+        [min(engine.saturation, MAX_ENGINE_LOAD) for engine in decoders]
+    )
 
 
 def _mean(values: list[float]) -> float:
--- a/packages/bulrushgrade/bulrushgrade/subset.py
+++ b/packages/bulrushgrade/bulrushgrade/subset.py
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Bucket:
+class _ZoneMembers:
     """The endpoints of one service in one zone, with choices made so far."""
 
     members: tuple[str, ...]
@@ -100,7 +100,7 @@
     """
 
     def __init__(self):
-        self._buckets: dict[str, dict[tuple[str, str], _Bucket]] = {}
+        self._members: dict[str, dict[tuple[str, str], _ZoneMembers]] = {}
         self._daemons: dict[str, membership.Host] = {}
         self._subsets: dict[str, frozenset[str]] = {}
 
@@ -114,20 +114,20 @@
             hosts: All listed hosts, daemons and endpoints.
         """
         daemons: dict[str, membership.Host] = {}
-        sorted_out: dict[str, dict[tuple[str, str], list[str]]] = {}
+        grouped: dict[str, dict[tuple[str, str], list[str]]] = {}
         for host in hosts:
             if host.kind is membership.Kind.ENTRY:
                 daemons[host.address] = host
                 continue
-            by_zone = sorted_out.setdefault(host.service, {})
+            by_zone = grouped.setdefault(host.service, {})
             zone = (host.region, host.zone)
             by_zone.setdefault(zone, []).append(host.address)
-        self._buckets = {
+        self._members = {
             service: {
                 zone: self._reuse(service, zone, tuple(sorted(members)))
                 for zone, members in by_zone.items()
             }
-            for service, by_zone in sorted_out.items()
+            for service, by_zone in grouped.items()
         }
         for address in self._daemons.keys() - daemons.keys():
             self._forget(address)
@@ -146,7 +146,7 @@
         if daemon not in self._subsets:
             self._subsets[daemon] = frozenset(
                 endpoint
-                for by_zone in self._buckets.values()
+                for by_zone in self._members.values()
                 for endpoint in self._choose(self._daemons[daemon], by_zone)
             )
         return self._subsets[daemon]
@@ -171,7 +171,7 @@
     def _choose(
         self,
         daemon: membership.Host,
-        by_zone: dict[tuple[str, str], _Bucket],
+        by_zone: dict[tuple[str, str], _ZoneMembers],
     ) -> list[str]:
         limit = OWN_ZONE_ENDPOINTS + OTHER_ZONE_ENDPOINTS
         if sum(len(b.members) for b in by_zone.values()) <= limit:
@@ -191,16 +191,16 @@
 
     def _reuse(
         self, service: str, zone: tuple[str, str], members: tuple[str, ...]
-    ) -> _Bucket:
-        old = self._buckets.get(service, {}).get(zone)
+    ) -> _ZoneMembers:
+        old = self._members.get(service, {}).get(zone)
         if old is not None and old.members == members:
             return old
-        return _Bucket(members=members)
+        return _ZoneMembers(members=members)
 
     def _forget(self, daemon: str) -> None:
-        for by_zone in self._buckets.values():
-            for bucket in by_zone.values():
-                bucket.choices.pop(daemon, None)
+        for by_zone in self._members.values():
+            for zone_members in by_zone.values():
+                zone_members.choices.pop(daemon, None)
 
 
 def choose_candidates(
--- a/packages/bulrushgrade/bulrushgrade/usagewindows.py
+++ b/packages/bulrushgrade/bulrushgrade/usagewindows.py
@@ -119,7 +119,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Sent:
+class _DaemonCounts:
     """What one daemon sent of a window."""
 
     counts: Counts
@@ -144,10 +144,10 @@
         self._first = windows.number(started_at)
         self._recorded: dict[int, Counts] = {}
         self._accepted: set[int] = set()
-        self._tried_at: dict[int, float] = {}
+        self._attempted_at: dict[int, float] = {}
         # Windows that began before may have records that nobody can read.
-        self._known_from = -math.inf
-        self._sent: dict[int, dict[str, _Sent]] = {}
+        self._complete_from = -math.inf
+        self._sent: dict[int, dict[str, _DaemonCounts]] = {}
 
     @property
     def accepted(self) -> int:
@@ -161,11 +161,11 @@
 
     def note_gap(self, now: float) -> None:
         """Notes that records were dropped unread."""
-        self._known_from = now
+        self._complete_from = now
 
     def record_attempt(self, window: int, now: float) -> None:
         """Notes that a window's report was sent, or was to be."""
-        self._tried_at[window] = now
+        self._attempted_at[window] = now
 
     def note_accepted(self, window: int) -> None:
         """Notes that the platform has a window's report."""
@@ -190,7 +190,7 @@
         sent = self._sent.setdefault(window, {})
         known = sent.get(daemon)
         if known is None or not known.is_whole or is_whole:
-            sent[daemon] = _Sent(counts=counts, is_whole=is_whole)
+            sent[daemon] = _DaemonCounts(counts=counts, is_whole=is_whole)
         return is_whole
 
     def next_record(
@@ -214,8 +214,8 @@
         window = (in_time or due)[0]
         counts = self._recorded.get(window)
         if counts is None:
-            counts = self._add_up(window)
-        return self._make(window, counts)
+            counts = self._sum_counts(window)
+        return self._make_record(window, counts)
 
     def forget(self, now: float) -> None:
         """Drops windows that are not remembered any more."""
@@ -225,19 +225,19 @@
             w: counts for w, counts in self._recorded.items() if w >= oldest
         }
         self._sent = {w: sent for w, sent in self._sent.items() if w >= oldest}
-        self._tried_at = {
-            w: at for w, at in self._tried_at.items() if w >= oldest
+        self._attempted_at = {
+            w: at for w, at in self._attempted_at.items() if w >= oldest
         }
 
     def _is_due(self, window: int, now: float, expected: set[str]) -> bool:
         if window in self._accepted:
             return False
-        if now - self._tried_at.get(window, -math.inf) < RETRY_S:
+        if now - self._attempted_at.get(window, -math.inf) < RETRY_S:
             return False
         if window in self._recorded:
             return True
         end = self._windows.end(window)
-        if end - self._windows.window_s < self._known_from:
+        if end - self._windows.window_s < self._complete_from:
             return False
         sent = self._sent.get(window, {})
         if window < self._first and not sent:
@@ -248,14 +248,14 @@
         waited = now >= end + WAIT_FRACTION * self._windows.late_s
         return waited or expected <= whole
 
-    def _add_up(self, window: int) -> Counts:
+    def _sum_counts(self, window: int) -> Counts:
         total: Counts = {}
         for one in self._sent.get(window, {}).values():
             for workspace, count in one.counts.items():
                 total[workspace] = total.get(workspace, 0) + count
         return total
 
-    def _make(self, window: int, counts: Counts) -> UsageRecord:
+    def _make_record(self, window: int, counts: Counts) -> UsageRecord:
         return UsageRecord(
             holder=self._holder,
             window=window,
--- a/packages/bulrushgrade/tests/test_crashledger.py
+++ b/packages/bulrushgrade/tests/test_crashledger.py
@@ -24,8 +24,8 @@
     """Has endpoints crash with all of some requests, in zones of their own."""
     for endpoint in endpoints:
         for request in requests.split():
-            its = {"zone": f"z{endpoint}"} | changes
-            ledger.take(involve(request, endpoint, **its), now=now)
+            fields = {"zone": f"z{endpoint}"} | changes
+            ledger.take(involve(request, endpoint, **fields), now=now)
 
 
 def test_third_crash_of_a_request_quarantines_it():
--- a/packages/bulrushgrade/tests/test_membership.py
+++ b/packages/bulrushgrade/tests/test_membership.py
@@ -138,7 +138,7 @@
         self.failures[address] = 0
 
     @stateful.invariant()
-    def newest_list_and_own_sight_decide(self):
+    def newest_list_and_own_observations_decide(self):
         live = {h.address for h in membership.select_live(self.newest.hosts)}
         for address, failures in self.failures.items():
             expected = address in live and failures < 3
--- a/packages/bulrushgrade/tests/test_stageplan.py
+++ b/packages/bulrushgrade/tests/test_stageplan.py
@@ -13,11 +13,11 @@
 TARGET_S = 0.8
 
 
-def make_view(readers, makers, waits_s=(), saturation=()):
+def make_view(prefillers, decoders, waits_s=(), saturation=()):
     """Makes a view; waits and saturation are by engine, the rest idle."""
     waits_s, saturation = dict(waits_s), dict(saturation)
-    engines = [make(f"p{n}", stage=PREFILL) for n in range(readers)]
-    engines += [make(f"d{n}", stage=DECODE) for n in range(makers)]
+    engines = [make(f"p{n}", stage=PREFILL) for n in range(prefillers)]
+    engines += [make(f"d{n}", stage=DECODE) for n in range(decoders)]
     return stageplan.ServiceView(
         service="llm",
         engines=tuple(
@@ -99,17 +99,17 @@
     A change takes 3 s: an engine that followed them would be away for most of
     the time. One may settle where it is missed more, none returns.
     """
-    plan, now, readers, makers = make_plan(), 0.0, 3, 6
+    plan, now, prefillers, decoders = make_plan(), 0.0, 3, 6
     stages = []
     for phase in range(40):
         is_reading = phase % 2 == 0
-        wait_s = (1.8 if is_reading else 0.15) / readers
-        saturation = (1.2 if is_reading else 5.4) / makers
+        wait_s = (1.8 if is_reading else 0.15) / prefillers
+        saturation = (1.2 if is_reading else 5.4) / decoders
         view = make_view(
-            readers,
-            makers,
-            of_all("p", readers, wait_s),
-            of_all("d", makers, saturation),
+            prefillers,
+            decoders,
+            of_all("p", prefillers, wait_s),
+            of_all("d", decoders, saturation),
         )
         end = now + 2.8
         while now < end:
@@ -117,8 +117,8 @@
             if change is not None:
                 stages.append(change.stage)
                 plan.note_change(view, now)
-                readers += 1 if change.stage is PREFILL else -1
-                makers += 1 if change.stage is DECODE else -1
+                prefillers += 1 if change.stage is PREFILL else -1
+                decoders += 1 if change.stage is DECODE else -1
                 break
     assert len(stages) <= 1
 
@@ -150,8 +150,15 @@
     With one fewer, a crash and a planned leaving at the same time would end
     every answer.
     """
-    for readers, makers in ((2, 3), (1, 3), (3, 1), (1, 1), (0, 1), (0, 3)):
-        view = make_view(readers, makers, of_all("p", readers, 5.0))
+    for prefillers, decoders in (
+        (2, 3),
+        (1, 3),
+        (3, 1),
+        (1, 1),
+        (0, 1),
+        (0, 3),
+    ):
+        view = make_view(prefillers, decoders, of_all("p", prefillers, 5.0))
         change, _ = watch(make_plan(), view, seconds=20.0)
         assert change is None or change.stage is DECODE
 
