--- a/packages/bulrushgrade/bulrushgrade/usagewindows.py
+++ b/packages/bulrushgrade/bulrushgrade/usagewindows.py
@@ -18,14 +18,14 @@
 """After a window's end until a daemon's counts are whole: requests that began
 in it are counted with the head of their answer."""
 
-WAIT_PART = 0.5
+WAIT_FRACTION = 0.5
 """Of the time in which a report is due, for which counts of daemons that have
 not sent theirs are waited for."""
 
 RETRY_S = 1.0
 """Before a report that was not accepted is sent again."""
 
-KEPT_TIMES = 4.0
+RETENTION_FACTOR = 4.0
 """Times within which reports are due, for which windows are remembered."""
 
 
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Windows:
+class WindowSchedule:
     """How time is divided.
 
     Attributes:
@@ -85,15 +85,15 @@
         """Returns whether a window's report is not late yet."""
         return now <= self.end(window) + self.late_s
 
-    def oldest_kept(self, now: float) -> int:
+    def oldest_retained(self, now: float) -> int:
         """Returns the oldest window that is remembered."""
-        return self.number(now - KEPT_TIMES * self.late_s)
+        return self.number(now - RETENTION_FACTOR * self.late_s)
 
 
 class UsageMeter:
     """What one daemon counts."""
 
-    def __init__(self, *, windows: Windows):
+    def __init__(self, *, windows: WindowSchedule):
         """Makes a meter that has counted nothing.
 
         Args:
@@ -113,13 +113,13 @@
 
     def forget(self, now: float) -> None:
         """Drops windows that are not remembered any more."""
-        oldest = self._windows.oldest_kept(now)
+        oldest = self._windows.oldest_retained(now)
         for window in [w for w in self._counts if w < oldest]:
             del self._counts[window]
 
 
 @attrs.define(kw_only=True)
-class _Sent:
+class _DaemonCounts:
     """What one daemon sent of a window."""
 
     counts: Counts
@@ -129,7 +129,9 @@
 class UsageReports:
     """Which windows were reported, and what is to be reported next."""
 
-    def __init__(self, *, holder: str, windows: Windows, started_at: float):
+    def __init__(
+        self, *, holder: str, windows: WindowSchedule, started_at: float
+    ):
         """Makes a state in which nothing was reported.
 
         Args:
@@ -142,10 +144,10 @@
         self._first = windows.number(started_at)
         self._recorded: dict[int, Counts] = {}
         self._accepted: set[int] = set()
-        self._tried_at: dict[int, float] = {}
+        self._attempted_at: dict[int, float] = {}
         # Windows that began before may have records that nobody can read.
-        self._known_from = -math.inf
-        self._sent: dict[int, dict[str, _Sent]] = {}
+        self._complete_from = -math.inf
+        self._sent: dict[int, dict[str, _DaemonCounts]] = {}
 
     @property
     def accepted(self) -> int:
@@ -159,11 +161,11 @@
 
     def note_gap(self, now: float) -> None:
         """Notes that records were dropped unread."""
-        self._known_from = now
+        self._complete_from = now
 
-    def note_tried(self, window: int, now: float) -> None:
+    def record_attempt(self, window: int, now: float) -> None:
         """Notes that a window's report was sent, or was to be."""
-        self._tried_at[window] = now
+        self._attempted_at[window] = now
 
     def note_accepted(self, window: int) -> None:
         """Notes that the platform has a window's report."""
@@ -188,7 +190,7 @@
         sent = self._sent.setdefault(window, {})
         known = sent.get(daemon)
         if known is None or not known.is_whole or is_whole:
-            sent[daemon] = _Sent(counts=counts, is_whole=is_whole)
+            sent[daemon] = _DaemonCounts(counts=counts, is_whole=is_whole)
         return is_whole
 
     def next_record(
@@ -202,7 +204,7 @@
         """
         expected = set(daemons)
         windows = range(
-            self._windows.oldest_kept(now), self._windows.number(now)
+            self._windows.oldest_retained(now), self._windows.number(now)
         )
         due = [w for w in windows if self._is_due(w, now, expected)]
         if not due:
@@ -212,30 +214,30 @@
         window = (in_time or due)[0]
         counts = self._recorded.get(window)
         if counts is None:
-            counts = self._add_up(window)
-        return self._make(window, counts)
+            counts = self._sum_counts(window)
+        return self._make_record(window, counts)
 
     def forget(self, now: float) -> None:
         """Drops windows that are not remembered any more."""
-        oldest = self._windows.oldest_kept(now)
+        oldest = self._windows.oldest_retained(now)
         self._accepted = {w for w in self._accepted if w >= oldest}
         self._recorded = {
             w: counts for w, counts in self._recorded.items() if w >= oldest
         }
         self._sent = {w: sent for w, sent in self._sent.items() if w >= oldest}
-        self._tried_at = {
-            w: at for w, at in self._tried_at.items() if w >= oldest
+        self._attempted_at = {
+            w: at for w, at in self._attempted_at.items() if w >= oldest
         }
 
     def _is_due(self, window: int, now: float, expected: set[str]) -> bool:
         if window in self._accepted:
             return False
-        if now - self._tried_at.get(window, -math.inf) < RETRY_S:
+        if now - self._attempted_at.get(window, -math.inf) < RETRY_S:
             return False
         if window in self._recorded:
             return True
         end = self._windows.end(window)
-        if end - self._windows.window_s < self._known_from:
+        if end - self._windows.window_s < self._complete_from:
             return False
         sent = self._sent.get(window, {})
         if window < self._first and not sent:
@@ -243,17 +245,17 @@
         if not self._windows.is_settled(window, now):
             return False
         whole = {daemon for daemon, one in sent.items() if one.is_whole}
-        waited = now >= end + WAIT_PART * self._windows.late_s
+        waited = now >= end + WAIT_FRACTION * self._windows.late_s
         return waited or expected <= whole
 
-    def _add_up(self, window: int) -> Counts:
+    def _sum_counts(self, window: int) -> Counts:
         total: Counts = {}
         for one in self._sent.get(window, {}).values():
             for workspace, count in one.counts.items():
                 total[workspace] = total.get(workspace, 0) + count
         return total
 
-    def _make(self, window: int, counts: Counts) -> UsageRecord:
+    def _make_record(self, window: int, counts: Counts) -> UsageRecord:
         return UsageRecord(
             holder=self._holder,
             window=window,
