--- a/examples/embed_lease.py
+++ b/examples/embed_lease.py
@@ -1,14 +1,14 @@
 """How a program of its own embeds the lease: two candidates, one log.
 
 Run it with the library on the path; it needs no network and no clock. The
-log is the model in `bulrushgrade.modellog`; a real program puts its client of
+log is the model in `bulrushgrade.fakelog`; a real program puts its client of
 the log service there and a clock that counts suspend in place of `now`.
 """
 
 import itertools
 
+from bulrushgrade import fakelog
 from bulrushgrade import lease
-from bulrushgrade import modellog
 
 STEP_S = 0.1
 
@@ -16,7 +16,7 @@
 class Candidate:
     """A process that wants authority over the group ``pack-llm``."""
 
-    def __init__(self, *, name: str, rank: int, log: modellog.ModelLog):
+    def __init__(self, *, name: str, rank: int, log: fakelog.FakeLog):
         serial = itertools.count()
         self.name = name
         self._log = log
@@ -37,14 +37,14 @@
 
     def work(self, now: float) -> str:
         """Does what only the holder may do, if it is the holder now."""
-        if not self._lease.acting(now):
+        if not self._lease.holds_lease(now):
             return ""
         return f"{self.name} acts under term {self._lease.term}"
 
 
 def main() -> list[str]:
     """Runs two candidates; the first is stopped after five seconds."""
-    log = modellog.ModelLog()
+    log = fakelog.FakeLog()
     first = Candidate(name="first", rank=0, log=log)
     second = Candidate(name="second", rank=1, log=log)
     lines: list[str] = []
--- a/examples/measure_authority.py
+++ b/examples/measure_authority.py
@@ -10,9 +10,9 @@
 import time
 import tracemalloc
 
+from bulrushgrade import fakelog
 from bulrushgrade import lease
 from bulrushgrade import leaselog
-from bulrushgrade import modellog
 from bulrushgrade import once
 from bulrushgrade import oncelog
 from bulrushgrade import order
@@ -33,7 +33,7 @@
     def __init__(self, *, times: lease.LeaseTimes, draw: random.Random):
         serial = itertools.count()
         self.now = 0.0
-        self.log = modellog.ModelLog()
+        self.log = fakelog.FakeLog()
         self.arriving: list = []
         self.kinds: dict[str, int] = {}
         self.running = [
@@ -73,7 +73,7 @@
 
     @property
     def holder(self) -> lease.Lease | None:
-        acting = (v for v in self.running if v.acting(self.now))
+        acting = (v for v in self.running if v.holds_lease(self.now))
         return next(acting, None)
 
 
@@ -128,10 +128,12 @@
         times=lease.LeaseTimes(),
         new_id=str,
     )
-    book = order.OrderBook(authority=view, times=order.OrderTimes(), new_id=str)
+    book = order.OrderTracker(
+        authority=view, times=order.OrderTimes(), new_id=str
+    )
     cost = _cost_us(lambda item: book.apply(item, 0.0), items)
-    print(f"OrderBook with its Lease, a renewal: {cost:.1f} us")
-    cost = _cost_us(lambda now: view.acting(now), [0.0] * STEPS)
+    print(f"OrderTracker with its Lease, a renewal: {cost:.1f} us")
+    cost = _cost_us(lambda now: view.holds_lease(now), [0.0] * STEPS)
     print(f"Lease.acting: {cost:.2f} us")
 
 
@@ -182,7 +184,7 @@
     ]
     claims = _records(claims, oncelog.CODEC)
     outcomes = _records(outcomes, oncelog.CODEC)
-    timed = once.Once(shard=0, runner="x", limits=limits, new_id=str)
+    timed = once.OnceShard(shard=0, runner="x", limits=limits, new_id=str)
     claim_us = _cost_us(lambda item: timed.fold.apply(item, 0.0), claims)
     done_us = _cost_us(lambda item: timed.fold.apply(item, 0.0), outcomes)
     tracemalloc.start()
--- a/packages/bulrushgrade/bulrushgrade/engineorder.py
+++ b/packages/bulrushgrade/bulrushgrade/engineorder.py
@@ -17,18 +17,18 @@
 
 
 @attrs.frozen(kw_only=True)
-class Seen:
+class EngineReport:
     """What an engine reported of itself.
 
     Attributes:
         state: ``serving``, ``draining``, ``changing`` or ``down``.
-        now: What it is.
+        current: What it is.
         order_id: The last order that it took; empty for none.
         number: That order's fencing number; -1 for none.
     """
 
     state: str
-    now: orderlog.Wanted
+    current: orderlog.Wanted
     order_id: str
     number: int = -1
 
--- a/packages/bulrushgrade/bulrushgrade/modelengine.py
+++ b/packages/bulrushgrade/bulrushgrade/fakeengine.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define(kw_only=True)
-class ModelEngine:
+class FakeEngine:
     """One engine; times are the true time of the test.
 
     Attributes:
@@ -42,9 +42,11 @@
     _number: int = -1
     _busy_until: float = 0.0
     _down: bool = False
-    _history: list[tuple[float, engineorder.Seen]] = attrs.field(factory=list)
+    _history: list[tuple[float, engineorder.EngineReport]] = attrs.field(
+        factory=list
+    )
 
-    def take(
+    def receive(
         self, order: engineorder.Order, *, opened_at: float, now: float
     ) -> engineorder.Reply:
         """Reads an order from a connection opened at a time."""
@@ -71,7 +73,9 @@
         self._busy_until, self._down = now, down
         self._note(now)
 
-    def report(self, now: float, *, lag_s: float = 0.0) -> engineorder.Seen:
+    def report(
+        self, now: float, *, lag_s: float = 0.0
+    ) -> engineorder.EngineReport:
         """Returns what it reported of itself some time ago."""
         self._note(now)
         del self._history[:-HISTORY]
@@ -80,9 +84,9 @@
 
     def _note(self, now: float) -> None:
         state = "changing" if now < self._busy_until else "serving"
-        seen = engineorder.Seen(
+        seen = engineorder.EngineReport(
             state="down" if self._down else state,
-            now=self._what or self.initial,
+            current=self._what or self.initial,
             order_id=self._order_id,
             number=self._number,
         )
--- a/packages/bulrushgrade/bulrushgrade/modelholder.py
+++ b/packages/bulrushgrade/bulrushgrade/fakeholder.py
@@ -1,7 +1,7 @@
 """A daemon's use of a lease and its orders, for tests of embedders.
 
-`ModelHolder` makes the calls that the owner of a `lease.Lease` and an
-`order.OrderBook` has to make, in their order, over a model log and model
+`FakeHolder` makes the calls that the owner of a `lease.Lease` and an
+`order.OrderTracker` has to make, in their order, over a model log and model
 engines. It has a clock of its own rate.
 """
 
@@ -11,9 +11,9 @@
 import attrs
 
 from bulrushgrade import engineorder
+from bulrushgrade import fakeengine
+from bulrushgrade import fakelog
 from bulrushgrade import lease
-from bulrushgrade import modelengine
-from bulrushgrade import modellog
 from bulrushgrade import order
 from bulrushgrade import orderlog
 from bulrushgrade import record
@@ -25,20 +25,20 @@
     opened_at: float
 
 
-class ModelHolder:
+class FakeHolder:
     """One candidate for the group ``g``, with its engines."""
 
     def __init__(
         self,
         *,
         name: str,
-        log: modellog.FaultyLog,
+        log: fakelog.FaultyLog,
         rank: int = 0,
-        engines: Iterable[modelengine.ModelEngine] = (),
+        engines: Iterable[fakeengine.FakeEngine] = (),
         lease_times: lease.LeaseTimes | None = None,
         order_times: order.OrderTimes | None = None,
         rate: float = 1.0,
-        born_at: float = 0.0,
+        started_at: float = 0.0,
     ):
         """Makes a candidate that has read nothing.
 
@@ -50,10 +50,10 @@
             lease_times: The lease's times, if not the usual ones.
             order_times: The orders' times, if not the usual ones.
             rate: Seconds of its clock to a second of true time.
-            born_at: The true time at which its clock shows 0.
+            started_at: The true time at which its clock shows 0.
         """
         serial = itertools.count()
-        self._log, self._rate, self._born_at = log, rate, born_at
+        self._log, self._rate, self._started_at = log, rate, started_at
         self._engines = {engine.name: engine for engine in engines}
         self._write: _Write | None = None
         self.lease = lease.Lease(
@@ -63,34 +63,34 @@
             times=lease_times or lease.LeaseTimes(),
             new_id=lambda: f"{name}-{next(serial)}",
         )
-        self.book = order.OrderBook(
+        self.order_tracker = order.OrderTracker(
             authority=self.lease,
             times=order_times or order.OrderTimes(),
             new_id=lambda: f"{name}-{next(serial)}",
         )
         for engine in self._engines.values():
-            self.book.set_engine(engine.name, fencing=engine.fencing)
+            self.order_tracker.set_engine(engine.name, fencing=engine.fencing)
 
     def clock(self, now: float) -> float:
         """Returns what its clock shows at a true time."""
-        return self._rate * (now - self._born_at)
+        return self._rate * (now - self._started_at)
 
-    def acting(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether it finds that it has authority."""
-        return self.lease.acting(self.clock(now))
+        return self.lease.holds_lease(self.clock(now))
 
     def read(self, now: float, *, limit: int = 500) -> None:
         """Reads on in the control stream."""
         page = self._log.read(
-            self.lease.stream, self.book.next_offset, limit=limit
+            self.lease.stream, self.order_tracker.next_offset, limit=limit
         )
-        self.book.apply_page(page, self.clock(now))
+        self.order_tracker.apply_page(page, self.clock(now))
 
-    def turn(
+    def step(
         self,
         now: float,
         *,
-        fate: modellog.Fate = modellog.Fate.LANDS,
+        delivery: fakelog.Delivery = fakelog.Delivery.STORED,
         lag_s: float = 0.0,
         limit: int = 500,
     ) -> None:
@@ -99,9 +99,9 @@
         clock = self.clock(now)
         for engine in self._engines.values():
             report = engine.report(now, lag_s=lag_s)
-            self.book.observe(engine.name, report, clock)
-        for append in (*self.lease.tick(clock), *self.book.due(clock)):
-            self.append(append, fate, now)
+            self.order_tracker.observe(engine.name, report, clock)
+        for append in (*self.lease.tick(clock), *self.order_tracker.due(clock)):
+            self.append(append, delivery, now)
         self.read(now, limit=limit)
 
     def propose(
@@ -110,28 +110,28 @@
         wanted: orderlog.Wanted,
         now: float,
         *,
-        fate: modellog.Fate = modellog.Fate.LANDS,
+        delivery: fakelog.Delivery = fakelog.Delivery.STORED,
     ) -> bool:
         """Makes and appends an intent; returns whether there was one."""
-        made = self.book.propose(engine, wanted, self.clock(now))
-        made.map(lambda append: self.append(append, fate, now))
+        made = self.order_tracker.propose(engine, wanted, self.clock(now))
+        made.map(lambda append: self.append(append, delivery, now))
         self.read(now)
         return made.value_or(None) is not None
 
     def append(
-        self, append: record.Append, fate: modellog.Fate, now: float
+        self, append: record.Append, delivery: fakelog.Delivery, now: float
     ) -> None:
         """Appends a record, and tells its part of a certain failure."""
-        if self._log.deliver(append, fate, now):
-            self.lease.failed(append.record_id)
-            self.book.failed(append.record_id)
+        if self._log.deliver(append, delivery, now):
+            self.lease.append_failed(append.record_id)
+            self.order_tracker.append_failed(append.record_id)
 
     def begin_write(self, now: float) -> engineorder.Order | None:
         """Checks that an order may be written; the write has yet to come."""
-        found = self.book.sendable(self.clock(now))
+        found = self.order_tracker.sendable(self.clock(now))
         if not found or self._write is not None:
             return None
-        self.book.sent(found[0], self.clock(now))
+        self.order_tracker.sent(found[0], self.clock(now))
         self._write = _Write(order=found[0], opened_at=now)
         return found[0]
 
@@ -140,12 +140,12 @@
         if self._write is None:
             return
         write, self._write = self._write, None
-        reply = self._engines[write.order.engine].take(
+        reply = self._engines[write.order.engine].receive(
             write.order, opened_at=write.opened_at, now=now
         )
         if lose_answer:
             reply = engineorder.Reply.LOST
-        self.book.answered(write.order, reply, self.clock(now))
+        self.order_tracker.answered(write.order, reply, self.clock(now))
 
     def write(
         self, now: float, *, lose_answer: bool = False
--- a/packages/bulrushgrade/bulrushgrade/modellog.py
+++ b/packages/bulrushgrade/bulrushgrade/fakelog.py
@@ -1,6 +1,6 @@
 """A log service in memory, for the tests of those who embed the library.
 
-`ModelLog` keeps what the platform's log promises, a total order of offsets in
+`FakeLog` keeps what the platform's log promises, a total order of offsets in
 each stream and trimming from the front, and nothing more: like the platform's,
 it stores a repeated append twice. `FaultyLog` adds what may become of an
 append on its way.
@@ -23,7 +23,7 @@
         return self.earliest + len(self.records)
 
 
-class ModelLog:
+class FakeLog:
     """Streams of records in memory."""
 
     def __init__(self):
@@ -59,56 +59,58 @@
         kept.earliest = max(kept.earliest, earliest)
 
 
-class Fate(enum.Enum):
+class Delivery(enum.Enum):
     """What becomes of an append."""
 
-    LANDS = "lands"
-    FAILS = "fails, and its writer is told"
-    VANISHES = "fails, and its writer is told nothing"
-    LANDS_LATE = "is under way for some time"
-    LANDS_TWICE = "is stored twice"
-    LANDS_AND_AGAIN = "is stored, and once more some time later"
+    STORED = "lands"
+    REJECTED = "fails, and its writer is told"
+    LOST = "fails, and its writer is told nothing"
+    DELAYED = "is under way for some time"
+    DUPLICATED = "is stored twice"
+    DUPLICATED_LATE = "is stored, and once more some time later"
 
 
-_STORED = {
-    Fate.LANDS: 1,
-    Fate.LANDS_TWICE: 2,
-    Fate.LANDS_AND_AGAIN: 1,
+_IMMEDIATE_COPIES = {
+    Delivery.STORED: 1,
+    Delivery.DUPLICATED: 2,
+    Delivery.DUPLICATED_LATE: 1,
 }
 
 
-class FaultyLog(ModelLog):
+class FaultyLog(FakeLog):
     """A log whose appends may fail, come late or come twice."""
 
     def __init__(self):
         super().__init__()
         self._stored_at: dict[str, list[float]] = {}
-        self._under_way: list[tuple[float, record.Append]] = []
+        self._in_flight: list[tuple[float, record.Append]] = []
 
     @property
-    def under_way(self) -> list[tuple[float, record.Append]]:
+    def in_flight(self) -> list[tuple[float, record.Append]]:
         """Appends that have not landed, with the times they were sent."""
-        return self._under_way
+        return self._in_flight
 
-    def deliver(self, append: record.Append, fate: Fate, now: float) -> bool:
-        """Lets an append meet its fate.
+    def deliver(
+        self, append: record.Append, delivery: Delivery, now: float
+    ) -> bool:
+        """Lets an append meet its delivery.
 
         Returns:
             Whether its writer learns for certain that it failed.
         """
-        for _ in range(_STORED.get(fate, 0)):
+        for _ in range(_IMMEDIATE_COPIES.get(delivery, 0)):
             self._store(append, now)
-        if fate in (Fate.LANDS_LATE, Fate.LANDS_AND_AGAIN):
-            self._under_way.append((now, append))
-        return fate is Fate.FAILS
+        if delivery in (Delivery.DELAYED, Delivery.DUPLICATED_LATE):
+            self._in_flight.append((now, append))
+        return delivery is Delivery.REJECTED
 
-    def land_next(self, now: float) -> None:
+    def store_next(self, now: float) -> None:
         """Stores the append that is under way for longest."""
-        self._store(self._under_way.pop(0)[1], now)
+        self._store(self._in_flight.pop(0)[1], now)
 
     def drop_next(self) -> None:
         """Loses the append that is under way for longest."""
-        self._under_way.pop(0)
+        self._in_flight.pop(0)
 
     def trim_older(self, stream: str, limit: float) -> None:
         """Drops the records that were stored before a time."""
--- a/packages/bulrushgrade/bulrushgrade/lease.py
+++ b/packages/bulrushgrade/bulrushgrade/lease.py
@@ -107,9 +107,9 @@
     """One candidate's view of one group's lease.
 
     The owner feeds pages of the stream as read, asks at each tick what to
-    append, and sends that after the call; `acting` must be asked in the same
-    turn as the write that relies on it. The present time given along with a
-    page must be taken after the page was received.
+    append, and sends that after the call; `holds_lease` must be asked in the
+    same turn as the write that relies on it. The present time given along
+    with a page must be taken after the page was received.
     """
 
     def __init__(
@@ -141,7 +141,7 @@
         self._sent: dict[str, float] = {}
         self._last_sent = -times.ttl_s
         self._own_term: int | None = None
-        self._until = 0.0
+        self._expires_at = 0.0
         self._quiet_since: float | None = None
 
     @property
@@ -170,22 +170,22 @@
         return self._own_term
 
     @property
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """When the own lease ends by this process's clock."""
-        return self._until
+        return self._expires_at
 
     def set_rank(self, rank: int | None) -> None:
         """Changes the candidate's rank, as the set of hosts changes."""
         self._rank = rank
 
-    def acting(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether this process has authority at this moment.
 
         A process that was stopped for several TTLs still finds itself in the
         phase of holding when it wakes; the clock, which went on, tells. So
         the time decides, never the phase alone.
         """
-        return now < self._until and self.phase == "holding"
+        return now < self._expires_at and self.phase == "holding"
 
     def apply_page(self, page: record.Page, now: float) -> None:
         """Takes a page of the stream."""
@@ -199,17 +199,17 @@
 
     def apply(self, item: record.Record, now: float) -> None:
         """Takes one record of the stream."""
-        arrival = self._position.take(item.offset)
+        arrival = self._position.advance(item.offset)
         if arrival is position.Arrival.REPEATED:
             return
         if arrival is position.Arrival.GAP:
             self._skip(now)
-        was_judged = self._fold.judged
+        was_term_known = self._fold.is_term_known
         found = self._fold.apply(item)
         if found is None:
             return
         # An unjudged record may have been effective: wait for its lease too.
-        if found or not was_judged:
+        if found or not was_term_known:
             self._quiet_since = now
         for entry in found:
             self._take_effective(entry, now)
@@ -221,7 +221,7 @@
     def tick(self, now: float) -> tuple[record.Append, ...]:
         """Returns what to append now; call it several times a second."""
         phase = self.phase
-        if phase == "holding" and now >= self._until:
+        if phase == "holding" and now >= self._expires_at:
             self._phase.expired()
         if phase == "claiming" and now >= self._last_sent + self._times.ttl_s:
             self._phase.claim_over()
@@ -241,7 +241,7 @@
             return (self._send(self._own(leaselog.Renew), now),)
         return ()
 
-    def failed(self, record_id: str) -> None:
+    def append_failed(self, record_id: str) -> None:
         """Notes that an append certainly did not take effect."""
         self._sent.pop(record_id, None)
         if self.phase == "claiming":
@@ -268,7 +268,7 @@
         if not self._position.caught_up or self._quiet_since is None:
             return False
         wait_s = self._rank * self._times.stagger_s
-        if not self._fold.judged or self._fold.term is not None:
+        if not self._fold.is_term_known or self._fold.term is not None:
             # The last holder, known or hidden by a gap, may act until its
             # TTL less the guard is over by its own clock. It sent its last
             # renewal before it could be read here, so TTL plus guard from
@@ -279,7 +279,7 @@
     def _may_renew(self, now: float) -> bool:
         if self.phase not in ("holding", "lapsed") or not self._owns_term():
             return False
-        granted_at = self._until - self._times.ttl_s + self._times.guard_s
+        granted_at = self._expires_at - self._times.ttl_s + self._times.guard_s
         return now >= granted_at + self._times.renew_every_s
 
     def _own(self, kind: type) -> leaselog.LeaseMessage:
@@ -307,11 +307,11 @@
         if sent_at is None or isinstance(entry.message, leaselog.Release):
             return
         self._own_term = self._fold.term
-        self._until = sent_at + self._times.ttl_s - self._times.guard_s
+        self._expires_at = sent_at + self._times.ttl_s - self._times.guard_s
         if self.phase == "retired":
             return
         self._phase.won()
-        if now >= self._until:
+        if now >= self._expires_at:
             self._phase.expired()
 
     def _lose(self) -> None:
--- a/packages/bulrushgrade/bulrushgrade/leaselog.py
+++ b/packages/bulrushgrade/bulrushgrade/leaselog.py
@@ -99,7 +99,7 @@
     """
 
     def __init__(self):
-        self._judged = True
+        self._is_term_known = True
         self._last = -1
         self._last_seen = -1
         self._term: int | None = None
@@ -107,9 +107,9 @@
         self._unjudged: list[Judged] = []
 
     @property
-    def judged(self) -> bool:
+    def is_term_known(self) -> bool:
         """Whether the current term is known."""
-        return self._judged
+        return self._is_term_known
 
     @property
     def term(self) -> int | None:
@@ -124,11 +124,11 @@
     @property
     def last_offset(self) -> int:
         """What a claim made now has to follow."""
-        return self._last if self._judged else self._last_seen
+        return self._last if self._is_term_known else self._last_seen
 
     def skip_to(self, origin: int) -> None:
         """Notes that the records before `origin` were trimmed unread."""
-        self._judged = False
+        self._is_term_known = False
         self._last_seen = origin - 1
         self._term, self._holder = None, ""
         self._unjudged = []
@@ -148,7 +148,7 @@
             record_id=item.record_id,
             message=parsed.unwrap(),
         )
-        return self._judge(entry) if self._judged else self._weigh(entry)
+        return self._judge(entry) if self._is_term_known else self._weigh(entry)
 
     def _judge(self, entry: Judged) -> tuple[Judged, ...]:
         message = entry.message
@@ -166,7 +166,7 @@
         return (entry,) if effective else ()
 
     def _accept(self, entry: Judged) -> None:
-        self._judged = True
+        self._is_term_known = True
         self._last = entry.offset
         if isinstance(entry.message, Release):
             self._term, self._holder = None, ""
--- a/packages/bulrushgrade/bulrushgrade/once.py
+++ b/packages/bulrushgrade/bulrushgrade/once.py
@@ -1,8 +1,9 @@
 """Running a request at most once, whatever host its retries reach.
 
-`Once` is one daemon's view of one shard: it claims keys, says which claim may
-run, and answers duplicates. What the log says is in `oncelog`; what is here
-depends on this process's clock and on what this process itself has started.
+`OnceShard` is one daemon's view of one shard: it claims keys, says which
+claim may run, and answers duplicates. What the log says is in `oncelog`; what
+is here depends on this process's clock and on what this process itself has
+started.
 
 The promise: of all requests that carry one key within its life, at most one
 is written to an endpoint, and the others get its answer, or are told to come
@@ -49,7 +50,7 @@
     outcome_sent_at: float = 0.0
 
 
-class Once:
+class OnceShard:
     """One daemon's view of one shard of once-only requests."""
 
     def __init__(
@@ -103,7 +104,7 @@
         return self._fold
 
     @property
-    def unsettled(self) -> int:
+    def pending_claims(self) -> int:
         """Own claims whose end has not been read back."""
         return len(self._own)
 
@@ -116,7 +117,7 @@
 
     def apply(self, item: record.Record, now: float) -> None:
         """Takes one record of the stream."""
-        if self._position.take(item.offset) is position.Arrival.REPEATED:
+        if self._position.advance(item.offset) is position.Arrival.REPEATED:
             return
         self._fold.apply(item, now)
         claim_id = self._claim_of_outcome.get(item.record_id)
@@ -162,7 +163,7 @@
             now: The present time.
             claim_id: The request's own claim, if it has made one.
         """
-        self._fold.forget(now)
+        self._fold.expire(now)
         if not self.caught_up:
             return errors.OnceNotReady()
         entry = self._fold.find(key)
@@ -205,7 +206,7 @@
         self._own[claim_id].started = True
         return True
 
-    def turned_away(self, claim_id: str) -> None:
+    def mark_not_started(self, claim_id: str) -> None:
         """Gives the permission to run a claim back.
 
         To be called only where the endpoint itself answered that it did not
@@ -273,7 +274,7 @@
             own, oncelog.Abandon(key=own.key, claim_id=claim_id), now
         )
 
-    def failed(self, claim_id: str) -> None:
+    def append_failed(self, claim_id: str) -> None:
         """Notes that the append of a claim certainly did not take effect."""
         self._drop(claim_id)
 
--- a/packages/bulrushgrade/bulrushgrade/oncelog.py
+++ b/packages/bulrushgrade/bulrushgrade/oncelog.py
@@ -209,7 +209,7 @@
         """Returns what is known of a key, if anything."""
         return self._entries.get(key)
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forgets the keys whose life is over."""
         while self._entries:
             key, entry = next(iter(self._entries.items()))
@@ -220,7 +220,7 @@
 
     def apply(self, item: record.Record, now: float) -> None:
         """Takes the next record of the stream."""
-        self.forget(now)
+        self.expire(now)
         parsed = CODEC.parse(item.body)
         if isinstance(parsed, Failure):
             return
--- a/packages/bulrushgrade/bulrushgrade/order.py
+++ b/packages/bulrushgrade/bulrushgrade/order.py
@@ -1,6 +1,6 @@
 """What a holder may order of its engines, and when.
 
-`OrderBook` reads a control stream for its candidate's `lease.Lease` and for
+`OrderTracker` reads a control stream for its candidate's `lease.Lease` and for
 the orders on it, and tells the owner which records to append and which orders
 to write. An order is written only while the lease lasts, after its intent was
 read back, and for as long as the engine was not seen to be through with it.
@@ -68,7 +68,7 @@
     """
 
     fencing: bool
-    seen: engineorder.Seen | None = None
+    seen: engineorder.EngineReport | None = None
     seen_at: float = 0.0
     open_writes: int = 0
     write_after: float = -math.inf
@@ -79,7 +79,7 @@
     intent_at: float = 0.0
 
 
-class OrderBook:
+class OrderTracker:
     """The orders of one group, as one candidate sees them."""
 
     def __init__(
@@ -132,7 +132,9 @@
         if known is not None and known.append is not None:
             del self._engine_of[known.append.record_id]
 
-    def observe(self, engine: str, seen: engineorder.Seen, now: float) -> None:
+    def observe(
+        self, engine: str, seen: engineorder.EngineReport, now: float
+    ) -> None:
         """Takes an engine's report of itself."""
         known = self._engines.get(engine)
         if known is None:
@@ -154,7 +156,7 @@
 
     def apply(self, item: record.Record, now: float) -> None:
         """Takes one record of the control stream, for the lease as well."""
-        arrival = self._position.take(item.offset)
+        arrival = self._position.advance(item.offset)
         if arrival is position.Arrival.REPEATED:
             return
         if arrival is position.Arrival.GAP:
@@ -183,7 +185,7 @@
             and known.append is None
         )
 
-    def stranded(self) -> tuple[str, ...]:
+    def draining_without_order(self) -> tuple[str, ...]:
         """Returns engines that refuse work though no order waits for them.
 
         A holder that asked an engine to drain and lost its lease before the
@@ -211,7 +213,7 @@
         known = self._engines.get(engine)
         if known is None:
             return Failure(errors.OrderRefused(reason="unknown engine"))
-        if not self._lease.acting(now):
+        if not self._lease.holds_lease(now):
             return Failure(errors.OrderRefused(reason="not the holder"))
         if engine in self._fold.unfinished or known.append is not None:
             return Failure(errors.OrderRefused(reason="order unfinished"))
@@ -233,7 +235,7 @@
                 found.append(append)
         return tuple(found)
 
-    def failed(self, record_id: str) -> None:
+    def append_failed(self, record_id: str) -> None:
         """Notes that an append certainly did not take effect."""
         known = self._engines.get(self._engine_of.pop(record_id, ""))
         if known is not None:
@@ -260,7 +262,7 @@
         """Whether an order may be written in this very turn."""
         known = self._engines.get(order.engine)
         current = self._fold.unfinished.get(order.engine)
-        if known is None or current is None or not self._lease.acting(now):
+        if known is None or current is None or not self._lease.holds_lease(now):
             return False
         if current.number != order.number or current.term != self._lease.term:
             return False
@@ -325,20 +327,20 @@
             if known.append_term != self._lease.term:
                 # Written for a lost term: it has no effect behind the next
                 # claim, and was read by now if it stands before it.
-                self.failed(known.append.record_id)
+                self.append_failed(known.append.record_id)
             elif now >= known.append_at + self._times.retry_s:
                 known.append_at = now
                 return known.append
             return None
         order = self._fold.unfinished.get(name)
-        if order is None or not self._lease.acting(now):
+        if order is None or not self._lease.holds_lease(now):
             return None
         if order.term != self._lease.term or (
             now >= known.intent_at + self._times.refresh_s
         ):
             return self._intend(name, order.order_id, order.wanted, now)
         if self._is_through(known, order) and self._is_quiet(known, now):
-            return self._end(name, order.order_id, known.seen.now, now)
+            return self._end(name, order.order_id, known.seen.current, now)
         return None
 
     def _is_quiet(self, known: _Engine, now: float) -> bool:
--- a/packages/bulrushgrade/bulrushgrade/orderturn.py
+++ b/packages/bulrushgrade/bulrushgrade/orderturn.py
@@ -63,7 +63,7 @@
         """Where the next record goes, as far as it is known."""
         return self._end
 
-    def take(self, holder: str | None, offset: int, *, now: float) -> None:
+    def apply(self, holder: str | None, offset: int, *, now: float) -> None:
         """Takes a record.
 
         Args:
--- a/packages/bulrushgrade/bulrushgrade/position.py
+++ b/packages/bulrushgrade/bulrushgrade/position.py
@@ -47,7 +47,7 @@
         self._jump(page.earliest_offset)
         return True
 
-    def take(self, offset: int) -> Arrival:
+    def advance(self, offset: int) -> Arrival:
         """Notes that the record at an offset is being read."""
         if offset < self.next_offset:
             return Arrival.REPEATED
--- a/packages/bulrushgrade/bulrushgrade/rolechange.py
+++ b/packages/bulrushgrade/bulrushgrade/rolechange.py
@@ -2,9 +2,9 @@
 
 Nothing is placed on the engine any more; every daemon drops it from its view,
 or the engine itself refuses; what is in flight finishes; the order goes out
-by `order.OrderBook`; the engine is seen to be through with it; and load comes
-back slowly. No request is cut on the way: the order is only proposed to an
-engine that is empty and that nobody can fill.
+by `order.OrderTracker`; the engine is seen to be through with it; and load
+comes back slowly. No request is cut on the way: the order is only proposed to
+an engine that is empty and that nobody can fill.
 """
 
 import enum
--- a/packages/bulrushgrade/bulrushgrade/truetime.py
+++ b/packages/bulrushgrade/bulrushgrade/wallclock.py
@@ -12,7 +12,7 @@
 """Differences that are kept; odd, so that the median is one of them."""
 
 
-class TrueTime:
+class WallClock:
     """What a steady clock has to be put forward by to tell the time."""
 
     def __init__(self):
@@ -22,7 +22,7 @@
         )
         self._median_s = 0.0
 
-    def note(self, time_of_day_s: float, steady_s: float) -> None:
+    def add_sample(self, time_of_day_s: float, steady_s: float) -> None:
         """Takes both clocks as they are at the same moment.
 
         Args:
@@ -32,6 +32,6 @@
         self._ahead_s.append(time_of_day_s - steady_s)
         self._median_s = statistics.median_low(self._ahead_s)
 
-    def at(self, steady_s: float) -> float:
+    def time_at(self, steady_s: float) -> float:
         """Returns the seconds since 1970 at a moment of the steady clock."""
         return steady_s + self._median_s
--- a/packages/bulrushgrade/tests/test_authority.py
+++ b/packages/bulrushgrade/tests/test_authority.py
@@ -10,11 +10,11 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
+from bulrushgrade import fakeengine
+from bulrushgrade import fakeholder
+from bulrushgrade import fakelog
 from bulrushgrade import lease
 from bulrushgrade import leaselog
-from bulrushgrade import modelengine
-from bulrushgrade import modelholder
-from bulrushgrade import modellog
 from bulrushgrade import order
 from bulrushgrade import orderlog
 
@@ -34,13 +34,15 @@
     for role in ("mixed", "prefill", "decode")
 ]
 NAMES = st.sampled_from(["checks", "ignores"])
-FATES = st.sampled_from([modellog.Fate.LANDS] * 2 + list(modellog.Fate))
-LANDS = modellog.Fate.LANDS
+DELIVERIES = st.sampled_from(
+    [fakelog.Delivery.STORED] * 2 + list(fakelog.Delivery)
+)
+STORED = fakelog.Delivery.STORED
 WHICH = st.integers(0, 2)
 RATES = st.sampled_from([1 - RATE_ERROR, 1.0, 1 + RATE_ERROR])
 
 
-class JudgedLog(modellog.FaultyLog):
+class ReferenceLog(fakelog.FaultyLog):
     """A log that folds all that was ever stored."""
 
     def __init__(self):
@@ -64,9 +66,9 @@
     def start(self, rates):
         self.now = 0.0
         self.serial = itertools.count()
-        self.log = JudgedLog()
+        self.log = ReferenceLog()
         self.engines = [
-            modelengine.ModelEngine(
+            fakeengine.FakeEngine(
                 name=name,
                 fencing=name == "checks",
                 initial=ROLES[0],
@@ -80,7 +82,7 @@
         self.holders = [self.new_holder(*item) for item in enumerate(rates)]
 
     def new_holder(self, rank, rate):
-        return modelholder.ModelHolder(
+        return fakeholder.FakeHolder(
             name=f"p{next(self.serial)}",
             log=self.log,
             rank=rank,
@@ -88,7 +90,7 @@
             lease_times=LEASE_TIMES,
             order_times=ORDER_TIMES,
             rate=rate,
-            born_at=self.now - 7.0 * rank,
+            started_at=self.now - 7.0 * rank,
         )
 
     @property
@@ -96,14 +98,14 @@
         return [h for h in self.holders if h not in self.paused]
 
     @property
-    def acting(self):
-        return [h for h in self.holders if h.acting(self.now)]
+    def current_holders(self):
+        return [h for h in self.holders if h.holds_lease(self.now)]
 
-    def all_turn(self, step_s, *, but=()):
+    def step_all(self, step_s, *, but=()):
         self.now += step_s
         for holder in self.awake:
             if holder not in but:
-                holder.turn(self.now)
+                holder.step(self.now)
                 holder.write(self.now)
                 self.check_one_holder()
 
@@ -116,36 +118,38 @@
     @stateful.rule(turns=st.integers(1, 20))
     def all_goes_well(self, turns):
         for _ in range(turns):
-            self.all_turn(0.5)
+            self.step_all(0.5)
 
     @stateful.rule(still_reads=st.booleans())
     def holder_is_cut_off(self, still_reads=False):
         self.now += LEASE_TIMES.renew_every_s
-        cut_off = [holder for holder in self.acting if holder in self.awake]
+        cut_off = [
+            holder for holder in self.current_holders if holder in self.awake
+        ]
         for holder in cut_off:
-            holder.turn(self.now, limit=0)
+            holder.step(self.now, limit=0)
         for step_s in [0.1, 5.8] + [0.1] * 8:
-            self.all_turn(step_s, but=cut_off)
+            self.step_all(step_s, but=cut_off)
             for holder in cut_off if still_reads else ():
                 holder.read(self.now)
                 self.check_one_holder()
 
     @stateful.rule(
         which=WHICH,
-        fate=FATES,
+        delivery=DELIVERIES,
         lag_s=st.sampled_from([0.0, 1.0, 3.0]),
         limit=st.sampled_from([0, 1, 2, 500]),
     )
-    def one_turn(self, which, fate, lag_s, limit):
+    def step_one(self, which, delivery, lag_s, limit):
         if self.holders[which] in self.awake:
-            self.holders[which].turn(
-                self.now, fate=fate, lag_s=lag_s, limit=limit
+            self.holders[which].step(
+                self.now, delivery=delivery, lag_s=lag_s, limit=limit
             )
 
-    @stateful.rule(fates=st.tuples(FATES, FATES, FATES))
-    def race(self, fates):
-        for which, fate in enumerate(fates):
-            self.one_turn(which, fate, 0.0, 0)
+    @stateful.rule(deliveries=st.tuples(DELIVERIES, DELIVERIES, DELIVERIES))
+    def race(self, deliveries):
+        for which, delivery in enumerate(deliveries):
+            self.step_one(which, delivery, 0.0, 0)
 
     @stateful.rule(which=WHICH)
     def pause(self, which):
@@ -161,19 +165,19 @@
         self.paused.discard(self.holders[which])
         self.holders[which] = self.new_holder(which, rate)
 
-    @stateful.rule(which=WHICH, rate=RATES, fate=FATES)
-    def stop_and_replace(self, which, rate, fate):
+    @stateful.rule(which=WHICH, rate=RATES, delivery=DELIVERIES)
+    def stop_and_replace(self, which, rate, delivery):
         holder = self.holders[which]
         if holder in self.awake:
             release = holder.lease.retire(holder.clock(self.now))
             if release is not None:
-                holder.append(release, fate, self.now)
+                holder.append(release, delivery, self.now)
             self.kill_and_replace(which, rate)
 
-    @stateful.precondition(lambda self: self.log.under_way)
+    @stateful.precondition(lambda self: self.log.in_flight)
     @stateful.rule()
-    def late_append_lands(self):
-        self.log.land_next(self.now)
+    def delayed_append_is_stored(self):
+        self.log.store_next(self.now)
 
     @stateful.rule(keep=st.integers(0, 3))
     def trim(self, keep):
@@ -186,14 +190,14 @@
 
     @stateful.invariant()
     def check_one_holder(self):
-        assert len(self.acting) <= 1, "two acting holders"
-        for holder in self.acting:
+        assert len(self.current_holders) <= 1, "two acting holders"
+        for holder in self.current_holders:
             assert holder.lease.term == self.log.leases.term
 
     @stateful.invariant()
     def check_terms(self):
         for holder in self.holders:
-            if holder.lease.fold.judged:
+            if holder.lease.fold.is_term_known:
                 known = self.log.terms[holder.lease.next_offset]
                 assert holder.lease.fold.term == known, "a wrong term"
 
@@ -202,7 +206,7 @@
             for which in range(3):
                 self.wake(which)
             self.all_goes_well(60)
-            assert len(self.acting) == 1, "no holder"
+            assert len(self.current_holders) == 1, "no holder"
 
 
 class OrderMachine(AuthorityMachine):
@@ -222,14 +226,14 @@
     @stateful.rule(
         name=NAMES,
         role=st.sampled_from(ROLES),
-        fate=FATES,
+        delivery=DELIVERIES,
         luck=st.sampled_from(["well", "answer lost", "pause", "pause"]),
     )
-    def holder_orders(self, name, role, fate, luck):
-        for holder in self.acting:
+    def holder_orders(self, name, role, delivery, luck):
+        for holder in self.current_holders:
             if holder not in self.awake:
                 continue
-            holder.propose(name, role, self.now, fate=fate)
+            holder.propose(name, role, self.now, delivery=delivery)
             if luck != "pause":
                 holder.write(self.now, lose_answer=luck == "answer lost")
             elif holder.begin_write(self.now):
@@ -249,12 +253,14 @@
     )
     def holder_changes_in_a_write(self, name, roles, luck, turns, wakes):
         old = [
-            which for which in range(3) if self.holders[which].acting(self.now)
+            which
+            for which in range(3)
+            if self.holders[which].holds_lease(self.now)
         ]
-        self.holder_orders(name, roles[0], LANDS, luck)
+        self.holder_orders(name, roles[0], STORED, luck)
         self.holder_is_cut_off()
         self.all_goes_well(turns)
-        self.holder_orders(name, roles[1], LANDS, "well")
+        self.holder_orders(name, roles[1], STORED, "well")
         for which in old if wakes else ():
             self.wake(which)
             self.write_without_reading(which)
--- a/packages/bulrushgrade/tests/test_lease.py
+++ b/packages/bulrushgrade/tests/test_lease.py
@@ -1,40 +1,40 @@
 """Tests of one candidate's lease, against a model of the log."""
 
+from bulrushgrade import fakeholder
+from bulrushgrade import fakelog
 from bulrushgrade import lease
-from bulrushgrade import modelholder
-from bulrushgrade import modellog
 
 TIMES = lease.LeaseTimes()
 STREAM = "control.g"
 
 
 def _candidates():
-    log = modellog.FaultyLog()
-    a = modelholder.ModelHolder(name="a", log=log)
-    return log, a, modelholder.ModelHolder(name="b", log=log)
+    log = fakelog.FaultyLog()
+    a = fakeholder.FakeHolder(name="a", log=log)
+    return log, a, fakeholder.FakeHolder(name="b", log=log)
 
 
 def test_first_candidate_holds_and_renews():
     log, a, _ = _candidates()
-    a.turn(0.0)
+    a.step(0.0)
     assert (a.lease.phase, a.lease.term) == ("holding", 0)
-    assert a.lease.until == TIMES.ttl_s - TIMES.guard_s
-    a.turn(1.9)
+    assert a.lease.expires_at == TIMES.ttl_s - TIMES.guard_s
+    a.step(1.9)
     assert a.lease.next_offset == 1
-    a.turn(2.0)
-    assert a.lease.until == 2.0 + TIMES.ttl_s - TIMES.guard_s
+    a.step(2.0)
+    assert a.lease.expires_at == 2.0 + TIMES.ttl_s - TIMES.guard_s
     assert log.read(STREAM, 0).end_offset == 2
 
 
 def test_second_waits_for_the_whole_lease():
     log, a, b = _candidates()
     b.lease.set_rank(1)
-    a.turn(0.0)
-    b.turn(1.0)
+    a.step(0.0)
+    b.step(1.0)
     due = 1.0 + TIMES.ttl_s + TIMES.guard_s + TIMES.stagger_s
-    b.turn(due - 0.01)
+    b.step(due - 0.01)
     assert b.lease.phase == "watching"
-    b.turn(due)
+    b.step(due)
     assert (b.lease.phase, b.lease.term) == ("holding", 1)
 
 
@@ -42,13 +42,13 @@
     # Two daemons steer one group: A is stopped for several TTLs, B takes
     # over, A wakes and still believes it holds the lease.
     log, a, b = _candidates()
-    a.turn(0.0)
+    a.step(0.0)
     for now in (0.0, 30.0):
-        b.turn(now)
+        b.step(now)
     assert a.lease.phase == "holding"
-    assert not a.lease.acting(30.0)
-    assert b.lease.acting(30.0)
-    a.turn(30.0)
+    assert not a.lease.holds_lease(30.0)
+    assert b.lease.holds_lease(30.0)
+    a.step(30.0)
     assert a.lease.phase == "watching"
 
 
@@ -61,37 +61,37 @@
     log.append(append)
     log.append(append)
     a.read(5.0)
-    assert a.lease.acting(5.0)
-    assert not a.lease.acting(5.5)
+    assert a.lease.holds_lease(5.0)
+    assert not a.lease.holds_lease(5.5)
 
 
 def test_lapsed_holder_goes_on_with_its_term_when_the_log_is_back():
     log, a, _ = _candidates()
-    a.turn(0.0)
-    assert not a.lease.acting(20.0)
-    a.turn(20.0)
-    assert a.lease.acting(20.0)
+    a.step(0.0)
+    assert not a.lease.holds_lease(20.0)
+    a.step(20.0)
+    assert a.lease.holds_lease(20.0)
     assert a.lease.term == 0
 
 
 def test_release_spares_the_wait():
     log, a, b = _candidates()
     b.lease.set_rank(1)
-    a.turn(0.0)
-    b.turn(0.0)
+    a.step(0.0)
+    b.step(0.0)
     log.append(a.lease.retire(3.0))
-    assert not a.lease.acting(3.0)
-    b.turn(3.0)
-    b.turn(3.0 + TIMES.stagger_s)
-    assert b.lease.acting(3.5)
+    assert not a.lease.holds_lease(3.0)
+    b.step(3.0)
+    b.step(3.0 + TIMES.stagger_s)
+    assert b.lease.holds_lease(3.5)
     assert b.lease.term == 2
 
 
 def test_lost_release_is_sent_again():
     log, a, _ = _candidates()
-    a.turn(0.0)
+    a.step(0.0)
     assert a.lease.retire(1.0) is not None
-    a.turn(2.0)
+    a.step(2.0)
     assert a.lease.fold.term is None
 
 
@@ -99,13 +99,13 @@
     # All hosts are replaced after a night without the log; every lease record
     # is trimmed. Without a way to claim, nobody would ever hold the group.
     log, old, a = _candidates()
-    old.turn(0.0)
+    old.step(0.0)
     log.trim(STREAM, 1)
-    a.turn(1.0)
-    assert not a.lease.fold.judged
-    a.turn(7.0)
+    a.step(1.0)
+    assert not a.lease.fold.is_term_known
+    a.step(7.0)
     assert a.lease.phase == "watching"
-    a.turn(7.5)
+    a.step(7.5)
     assert (a.lease.phase, a.lease.term) == ("holding", 1)
 
 
@@ -113,17 +113,17 @@
     # A's claim is trimmed under B, which joins late and can't judge A's next
     # renewal. A is cut off from the log right after it, and still acts.
     log, a, b = _candidates()
-    a.turn(0.0)
+    a.step(0.0)
     log.trim(STREAM, 1)
-    b.turn(0.0)
-    a.turn(4.0)
-    b.turn(4.0)
-    assert not b.lease.fold.judged
-    b.turn(6.5)
-    assert a.lease.acting(6.5)
+    b.step(0.0)
+    a.step(4.0)
+    b.step(4.0)
+    assert not b.lease.fold.is_term_known
+    b.step(6.5)
+    assert a.lease.holds_lease(6.5)
     assert b.lease.phase == "watching"
-    b.turn(10.5)
-    assert b.lease.acting(10.5)
+    b.step(10.5)
+    assert b.lease.holds_lease(10.5)
 
 
 def test_reader_that_fell_into_a_gap_waits_the_whole_lease():
@@ -132,10 +132,10 @@
     log, a, b = _candidates()
     b.read(0.0)
     for now in (0.0, 2.0, 4.0, 6.0, 8.0):
-        a.turn(now)
+        a.step(now)
     log.trim(STREAM, 5)
-    b.turn(8.0)
+    b.step(8.0)
     assert (b.lease.phase, b.lease.next_offset) == ("watching", 5)
-    b.turn(14.5)
-    assert b.lease.acting(14.5)
-    assert not a.lease.acting(13.5)
+    b.step(14.5)
+    assert b.lease.holds_lease(14.5)
+    assert not a.lease.holds_lease(13.5)
--- a/packages/bulrushgrade/tests/test_leaselog.py
+++ b/packages/bulrushgrade/tests/test_leaselog.py
@@ -48,7 +48,7 @@
 
 def test_release_leaves_no_term():
     fold = _fold([_claim(-1), Release(holder="a", term=0, after_offset=0)])
-    assert (fold.term, fold.judged) == (None, True)
+    assert (fold.term, fold.is_term_known) == (None, True)
 
 
 def test_second_copy_has_no_effect():
@@ -68,8 +68,8 @@
     # A host joins while the log has just trimmed B's claim, and the first
     # thing it reads is the late renewal of A, which B had superseded.
     late = _renew(0, 0)
-    assert not _fold([late], start=9).judged
-    assert not _fold([late, late], start=9).judged
+    assert not _fold([late], start=9).is_term_known
+    assert not _fold([late, late], start=9).is_term_known
 
 
 def test_fresh_reader_believes_what_a_later_renewal_testifies_to():
@@ -85,5 +85,5 @@
 
 def test_fresh_reader_believes_a_claim_that_reaches_the_gap():
     assert _fold([_claim(8)], start=9).term == 9
-    assert not _fold([_claim(7)], start=9).judged
-    assert not _fold([_renew(3, 5), _claim(8)], start=9).judged
+    assert not _fold([_claim(7)], start=9).is_term_known
+    assert not _fold([_renew(3, 5), _claim(8)], start=9).is_term_known
--- a/packages/bulrushgrade/tests/test_once.py
+++ b/packages/bulrushgrade/tests/test_once.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bulrushgrade import errors
-from bulrushgrade import modellog
+from bulrushgrade import fakelog
 from bulrushgrade import once
 from bulrushgrade import oncedecision
 from bulrushgrade import oncelog
@@ -20,7 +20,7 @@
     def __init__(self, *, log, name, limits=LIMITS):
         ids = itertools.count()
         self.log = log
-        self.once = once.Once(
+        self.once = once.OnceShard(
             shard=0,
             runner=name,
             limits=limits,
@@ -50,7 +50,7 @@
 
 
 def _two():
-    log = modellog.ModelLog()
+    log = fakelog.FakeLog()
     return Daemon(log=log, name="a"), Daemon(log=log, name="b")
 
 
@@ -63,7 +63,7 @@
     a.finish(claim_id)
     b.read(0.0)
     assert b.decide() == oncedecision.Duplicate(answer=ANSWER)
-    assert a.once.unsettled == 0
+    assert a.once.pending_claims == 0
 
 
 def test_the_first_of_two_claims_runs():
@@ -136,11 +136,11 @@
 
 
 def test_daemon_that_has_not_read_the_stream_claims_nothing():
-    log = modellog.ModelLog()
+    log = fakelog.FakeLog()
     a = Daemon(log=log, name="a")
     a.claim()
     a.once.claim(key="x", digest="d", now=0.0)
-    fresh = once.Once(shard=0, runner="f", limits=LIMITS, new_id=str)
+    fresh = once.OnceShard(shard=0, runner="f", limits=LIMITS, new_id=str)
     assert isinstance(
         fresh.decide(key="k", digest="d", now=0.0), errors.OnceNotReady
     )
@@ -162,7 +162,7 @@
 
 def test_memory_of_answers_and_keys_is_bounded():
     limits = oncelog.OnceLimits(answer_memory_bytes=8)
-    log = modellog.ModelLog()
+    log = fakelog.FakeLog()
     a = Daemon(log=log, name="a", limits=limits)
     for key in ("one", "two"):
         append = a.once.claim(key=key, digest="d", now=0.0).unwrap()
@@ -174,7 +174,7 @@
     assert a.once.decide(key="one", digest="d", now=1.0) == (
         oncedecision.Duplicate(answer=None)
     )
-    a.once.fold.forget(900.0)
+    a.once.fold.expire(900.0)
     assert (len(a.once.fold), a.once.fold.answer_bytes) == (0, 0)
 
 
--- a/packages/bulrushgrade/tests/test_once_faults.py
+++ b/packages/bulrushgrade/tests/test_once_faults.py
@@ -14,7 +14,7 @@
 from returns.result import Failure
 from returns.result import Success
 
-from bulrushgrade import modellog
+from bulrushgrade import fakelog
 from bulrushgrade import once
 from bulrushgrade import oncedecision
 from bulrushgrade import oncelog
@@ -27,8 +27,10 @@
 DAEMONS = st.integers(0, 2)
 BACK = st.sampled_from([0, 0, 0, 1])
 LIMITS_OF_READS = st.sampled_from([0, 1, 2, 500])
-FATES = st.sampled_from([modellog.Fate.LANDS] * 2 + list(modellog.Fate))
-LANDS = modellog.Fate.LANDS
+DELIVERIES = st.sampled_from(
+    [fakelog.Delivery.STORED] * 2 + list(fakelog.Delivery)
+)
+STORED = fakelog.Delivery.STORED
 
 
 @attrs.define(kw_only=True)
@@ -40,7 +42,7 @@
     state: str = "claimed"
 
 
-class World(modellog.FaultyLog):
+class World(fakelog.FaultyLog):
     """True time, the log, and what the endpoint ran."""
 
     def __init__(self):
@@ -58,15 +60,15 @@
             self.ended.add(message.claim_id)
         return super().append(append)
 
-    def land_late(self):
-        sent_at, append = self.under_way[0]
+    def store_delayed(self):
+        sent_at, append = self.in_flight[0]
         message = oncelog.CODEC.parse(append.body).unwrap()
         # Claims may be under way for any time, outcomes for half a life.
         late = self.now - sent_at > LIMITS.key_life_s / 2
         if late and isinstance(message, oncelog.Done):
             self.drop_next()
         else:
-            self.land_next(self.now)
+            self.store_next(self.now)
 
     def run(self, key):
         """The endpoint runs a key; within a key's life it does so once."""
@@ -90,7 +92,7 @@
         self.origin = rate * world.now
         self.paused = False
         self.requests = []
-        self.once = once.Once(
+        self.once = once.OnceShard(
             shard=0,
             runner=name,
             limits=LIMITS,
@@ -105,17 +107,17 @@
         page = self.world.read("once.0", self.once.next_offset, limit=limit)
         self.once.apply_page(page, self.clock)
 
-    def accept(self, key, fate):
+    def accept(self, key, delivery):
         """A caller sends, or repeats, the request with a key."""
         made = self.once.claim(key=key, digest=key, now=self.clock)
         if isinstance(made, Success):
             append = made.unwrap()
             self.requests.append(Request(key=key, claim_id=append.record_id))
-            if self.world.deliver(append, fate, self.world.now):
-                self.once.failed(append.record_id)
+            if self.world.deliver(append, delivery, self.world.now):
+                self.once.append_failed(append.record_id)
         return made
 
-    def serve(self, fate, luck):
+    def serve(self, delivery, luck):
         """Moves each request on by one step."""
         for request in list(self.requests):
             decision = self.once.decide(
@@ -130,15 +132,15 @@
                 if luck == "pause":
                     self.paused = True
                     return
-                self.write(request, fate, luck)
+                self.write(request, delivery, luck)
             elif isinstance(decision, oncedecision.Late):
                 append = self.once.abandon(request.claim_id, self.clock)
-                self.world.deliver(append, fate, self.world.now)
+                self.world.deliver(append, delivery, self.world.now)
                 self.requests.remove(request)
             elif not isinstance(decision, oncedecision.Pending):
                 self.requests.remove(request)
 
-    def write(self, request, fate, luck):
+    def write(self, request, delivery, luck):
         self.requests.remove(request)
         if luck == "refused":
             append = self.once.abandon(request.claim_id, self.clock)
@@ -148,13 +150,13 @@
                 request.claim_id, answer=answer, known=True, now=self.clock
             )
         if append is not None:
-            self.world.deliver(append, fate, self.world.now)
+            self.world.deliver(append, delivery, self.world.now)
 
     def wake(self, *, in_time):
         self.paused = False
         for request in list(self.requests):
             if request.state == "started" and in_time:
-                self.write(request, LANDS, "well")
+                self.write(request, STORED, "well")
 
 
 class OnceMachine(stateful.RuleBasedStateMachine):
@@ -184,15 +186,15 @@
             self.read_everywhere()
         self.world.now += step_s
 
-    @stateful.rule(which=DAEMONS, back=BACK, fate=FATES)
-    def accept(self, which, back, fate):
+    @stateful.rule(which=DAEMONS, back=BACK, delivery=DELIVERIES)
+    def accept(self, which, back, delivery):
         if not self.daemons[which].paused:
-            self.daemons[which].accept(self.key(back), fate)
+            self.daemons[which].accept(self.key(back), delivery)
 
-    @stateful.rule(fates=st.tuples(FATES, FATES, FATES))
-    def accept_everywhere(self, fates):
-        for which, fate in enumerate(fates):
-            self.accept(which, 0, fate)
+    @stateful.rule(deliveries=st.tuples(DELIVERIES, DELIVERIES, DELIVERIES))
+    def accept_everywhere(self, deliveries):
+        for which, delivery in enumerate(deliveries):
+            self.accept(which, 0, delivery)
 
     @stateful.rule(which=DAEMONS, limit=LIMITS_OF_READS)
     def read(self, which, limit):
@@ -207,21 +209,21 @@
     @stateful.rule(
         order=st.permutations(range(3)),
         limits=st.tuples(*[LIMITS_OF_READS] * 3),
-        fate=FATES,
+        delivery=DELIVERIES,
         luck=st.sampled_from(["well", "well", "refused", "pause"]),
     )
-    def serve_everywhere(self, order, limits, fate, luck):
+    def serve_everywhere(self, order, limits, delivery, luck):
         for which in order:
-            self.serve(which, fate, luck, limits[which])
+            self.serve(which, delivery, luck, limits[which])
 
-    def serve(self, which, fate, luck, limit):
+    def serve(self, which, delivery, luck, limit):
         daemon = self.daemons[which]
         if daemon.paused:
             return
         daemon.read(limit)
-        daemon.serve(fate, luck)
+        daemon.serve(delivery, luck)
         for append in daemon.once.due(daemon.clock):
-            self.world.deliver(append, fate, self.world.now)
+            self.world.deliver(append, delivery, self.world.now)
         if daemon.paused:
             self.paused_at[which] = self.world.now
 
@@ -230,11 +232,11 @@
         key, daemon = self.key(back), self.daemons[which]
         if not daemon.paused:
             daemon.read()
-            made = daemon.accept(key, LANDS)
+            made = daemon.accept(key, STORED)
             if isinstance(made, Failure):
                 self.check_answer(key, made.failure())
             daemon.read()
-            daemon.serve(LANDS, "well")
+            daemon.serve(STORED, "well")
 
     def check_answer(self, key, decision):
         if isinstance(decision, oncedecision.Duplicate):
@@ -258,10 +260,10 @@
         self.daemons[which] = Daemon(world=self.world, rate=rate)
         self.read(which, 500)
 
-    @stateful.precondition(lambda self: self.world.under_way)
+    @stateful.precondition(lambda self: self.world.in_flight)
     @stateful.rule()
-    def late_append_lands(self):
-        self.world.land_late()
+    def delayed_append_is_stored(self):
+        self.world.store_delayed()
 
     @stateful.rule()
     def trim(self):
--- a/packages/bulrushgrade/tests/test_order.py
+++ b/packages/bulrushgrade/tests/test_order.py
@@ -4,10 +4,10 @@
 
 from bulrushgrade import engineorder
 from bulrushgrade import errors
+from bulrushgrade import fakeengine
+from bulrushgrade import fakeholder
+from bulrushgrade import fakelog
 from bulrushgrade import lease
-from bulrushgrade import modelengine
-from bulrushgrade import modelholder
-from bulrushgrade import modellog
 from bulrushgrade import order
 from bulrushgrade import orderlog
 
@@ -19,15 +19,15 @@
 
 def _group(*, fencing=True, change_s=3.0):
     """Returns a holder, a candidate, their engine and the log."""
-    log = modellog.FaultyLog()
-    engine = modelengine.ModelEngine(
+    log = fakelog.FaultyLog()
+    engine = fakeengine.FakeEngine(
         name="e", fencing=fencing, initial=MIXED, change_s=change_s
     )
     a, b = (
-        modelholder.ModelHolder(name=name, log=log, engines=[engine])
+        fakeholder.FakeHolder(name=name, log=log, engines=[engine])
         for name in ("a", "b")
     )
-    a.turn(0.0)
+    a.step(0.0)
     return a, b, engine, log
 
 
@@ -37,16 +37,16 @@
 
 def _settle(holder, end, *, start=0):
     for now in range(start, end + 1, 2):
-        holder.turn(float(now))
+        holder.step(float(now))
 
 
 def test_no_byte_goes_out_before_the_intent_is_read_back():
     a, _, _, log = _group()
-    intent = a.book.propose("e", PREFILL, 0.0).unwrap()
-    assert a.book.sendable(0.0) == ()
+    intent = a.order_tracker.propose("e", PREFILL, 0.0).unwrap()
+    assert a.order_tracker.sendable(0.0) == ()
     log.append(intent)
     a.read(0.0)
-    (found,) = a.book.sendable(0.0)
+    (found,) = a.order_tracker.sendable(0.0)
     assert (found.wanted, found.number) == (PREFILL, 1)
 
 
@@ -54,13 +54,15 @@
     a, _, _, _ = _group()
     assert a.propose("e", PREFILL, 0.0)
     a.write(0.0)
-    assert a.book.propose("e", MIXED, 0.0) == _refused("order unfinished")
-    a.turn(2.9)
-    assert a.book.sendable(2.9) == ()
-    assert "e" in a.book.fold.unfinished
-    assert not a.book.placeable("e")
-    a.turn(3.0)
-    assert a.book.placeable("e")
+    assert a.order_tracker.propose("e", MIXED, 0.0) == _refused(
+        "order unfinished"
+    )
+    a.step(2.9)
+    assert a.order_tracker.sendable(2.9) == ()
+    assert "e" in a.order_tracker.fold.unfinished
+    assert not a.order_tracker.placeable("e")
+    a.step(3.0)
+    assert a.order_tracker.placeable("e")
     assert a.propose("e", MIXED, 4.0)
     assert a.write(4.0).wanted == MIXED
 
@@ -72,10 +74,10 @@
     a.propose("e", PREFILL, 0.0)
     a.write(0.0)
     engine.crash(1.0, down=True)
-    a.turn(2.0)
+    a.step(2.0)
     engine.crash(3.0)
-    a.turn(4.0)
-    assert not a.book.placeable("e")
+    a.step(4.0)
+    assert not a.order_tracker.placeable("e")
     assert a.write(4.0).wanted == PREFILL
 
 
@@ -85,13 +87,13 @@
     a, b, _, _ = _group()
     a.propose("e", PREFILL, 0.0)
     for now in (1.0, 7.5):
-        b.turn(now)
-        assert b.book.sendable(now) == ()
-    b.turn(7.6)
+        b.step(now)
+        assert b.order_tracker.sendable(now) == ()
+    b.step(7.6)
     found = b.write(7.6)
     assert (found.wanted, found.number) == (PREFILL, 3)
-    assert found.order_id == a.book.fold.unfinished["e"].order_id
-    assert not a.book.sendable(7.6)
+    assert found.order_id == a.order_tracker.fold.unfinished["e"].order_id
+    assert not a.order_tracker.sendable(7.6)
 
 
 def test_adopted_order_is_sent_though_the_engine_is_through_with_it():
@@ -101,29 +103,29 @@
     a.propose("e", PREFILL, 0.0)
     old = a.write(0.0)
     for now in (1.0, 7.5, 7.6):
-        b.turn(now)
-    assert not b.book.placeable("e")
+        b.step(now)
+    assert not b.order_tracker.placeable("e")
     b.write(7.6)
-    stale = engine.take(old, opened_at=7.6, now=7.6)
+    stale = engine.receive(old, opened_at=7.6, now=7.6)
     assert stale is engineorder.Reply.STALE
-    b.turn(7.7)
-    assert b.book.placeable("e")
+    b.step(7.7)
+    assert b.order_tracker.placeable("e")
 
 
 def test_lapsed_holder_sends_nothing():
     a, _, _, _ = _group()
     a.propose("e", PREFILL, 0.0)
-    (found,) = a.book.sendable(LEASE_S - 0.1)
-    assert not a.book.may_send(found, LEASE_S)
+    (found,) = a.order_tracker.sendable(LEASE_S - 0.1)
+    assert not a.order_tracker.may_send(found, LEASE_S)
 
 
 def test_new_holder_waits_where_numbers_are_ignored():
     a, _, _, _ = _group(fencing=False)
     waits = _refused("last holder may write")
     for now in range(0, 30, 2):
-        a.turn(float(now))
-        assert a.book.propose("e", PREFILL, float(now)) == waits
-    a.turn(30.0)
+        a.step(float(now))
+        assert a.order_tracker.propose("e", PREFILL, float(now)) == waits
+    a.step(30.0)
     assert a.propose("e", PREFILL, 30.0)
     assert a.write(30.0)
 
@@ -134,27 +136,31 @@
     a.propose("e", PREFILL, 30.0)
     a.write(30.0, lose_answer=True)
     _settle(a, 58, start=32)
-    assert not a.book.placeable("e")
-    a.turn(60.0)
-    assert a.book.placeable("e")
+    assert not a.order_tracker.placeable("e")
+    a.step(60.0)
+    assert a.order_tracker.placeable("e")
 
 
 def test_intent_under_way_is_repeated_then_refreshed():
     a, _, _, log = _group()
-    intent = a.book.propose("e", PREFILL, 0.0).unwrap()
-    assert a.book.due(0.4) == ()
-    assert a.book.due(0.5) == (intent,)
+    intent = a.order_tracker.propose("e", PREFILL, 0.0).unwrap()
+    assert a.order_tracker.due(0.4) == ()
+    assert a.order_tracker.due(0.5) == (intent,)
     log.append(intent)
     _settle(a, 604)
-    assert a.book.fold.unfinished["e"].number > 300
+    assert a.order_tracker.fold.unfinished["e"].number > 300
 
 
 def test_engine_must_be_seen_before_an_order():
     a, b, engine, _ = _group()
-    assert b.book.propose("e", PREFILL, 0.0) == _refused("not the holder")
+    assert b.order_tracker.propose("e", PREFILL, 0.0) == _refused(
+        "not the holder"
+    )
     engine.crash(1.0, down=True)
-    a.turn(1.0)
-    assert a.book.propose("e", PREFILL, 1.0) == _refused("engine not seen")
+    a.step(1.0)
+    assert a.order_tracker.propose("e", PREFILL, 1.0) == _refused(
+        "engine not seen"
+    )
 
 
 def test_size_of_what_a_pause_can_do_where_numbers_are_ignored():
@@ -163,14 +169,14 @@
     a, b, _, _ = _group(fencing=False, change_s=0.0)
     _settle(a, 30)
     a.propose("e", PREFILL, 30.0)
-    b.turn(30.0)
-    (late,) = a.book.sendable(30.0)
-    checked_at = a.lease.until - 0.01
-    assert a.book.may_send(late, checked_at)
+    b.step(30.0)
+    (late,) = a.order_tracker.sendable(30.0)
+    checked_at = a.lease.expires_at - 0.01
+    assert a.order_tracker.may_send(late, checked_at)
     at = 30.0
     while not b.propose("e", MIXED, at):
         at += 0.25
-        b.turn(at)
+        b.step(at)
         b.write(at)
     remaining_s = at - checked_at
     guards_s = 2 * lease.LeaseTimes().guard_s
@@ -182,9 +188,11 @@
     # A asks the engine to drain and loses its lease before the order. Nobody
     # else would think of the engine, and it would stay empty for good.
     a, _, _, _ = _group()
-    assert a.book.stranded() == ()
-    draining = engineorder.Seen(state="draining", now=MIXED, order_id="")
-    a.book.observe("e", draining, 1.0)
-    assert a.book.stranded() == ("e",)
+    assert a.order_tracker.draining_without_order() == ()
+    draining = engineorder.EngineReport(
+        state="draining", current=MIXED, order_id=""
+    )
+    a.order_tracker.observe("e", draining, 1.0)
+    assert a.order_tracker.draining_without_order() == ("e",)
     assert a.propose("e", MIXED, 1.0)
-    assert a.book.stranded() == ()
+    assert a.order_tracker.draining_without_order() == ()
--- a/packages/bulrushgrade/tests/test_orderturn.py
+++ b/packages/bulrushgrade/tests/test_orderturn.py
@@ -20,7 +20,7 @@
 
 def test_own_records_do_not_hold_up():
     turn = make()
-    turn.take("a", 0, now=1.0)
+    turn.apply("a", 0, now=1.0)
     assert turn.may_append(1.0)
     assert turn.end == 1
 
@@ -32,7 +32,7 @@
     orders might come within a lease.
     """
     turn = make()
-    turn.take("b", 7, now=10.0)
+    turn.apply("b", 7, now=10.0)
     assert not turn.may_append(10.0 + LEASE_S)
     whole_s = LEASE_S + orderturn.SEND_WITHIN_S + orderturn.GUARD_S
     assert turn.may_append(10.0 + whole_s)
@@ -40,7 +40,7 @@
 
 def test_unreadable_record_counts_as_another_hosts():
     turn = make()
-    turn.take(None, 0, now=5.0)
+    turn.apply(None, 0, now=5.0)
     assert not turn.may_append(6.0)
 
 
@@ -88,7 +88,7 @@
     def read(self, host):
         turn = self.turns[host]
         for offset in range(turn.end, len(self.topic)):
-            turn.take(self.topic[offset], offset, now=self.now)
+            turn.apply(self.topic[offset], offset, now=self.now)
 
     @stateful.rule(host=st.sampled_from(HOSTS))
     def append(self, host):
@@ -96,7 +96,7 @@
         if turn.end != len(self.topic) or not turn.may_append(self.now):
             return
         self.appended[host] = (self.now, len(self.topic))
-        turn.take(host, len(self.topic), now=self.now)
+        turn.apply(host, len(self.topic), now=self.now)
         self.topic.append(host)
 
     @stateful.rule(host=st.sampled_from(HOSTS))
--- a/packages/bulrushgrade/tests/test_position.py
+++ b/packages/bulrushgrade/tests/test_position.py
@@ -15,9 +15,9 @@
     assert not place.open_page(_page(earliest=0, end=0))
     place.close_page(_page(earliest=0, end=0))
     assert place.caught_up
-    assert place.take(0) is position.Arrival.NEXT
-    assert place.take(0) is position.Arrival.REPEATED
+    assert place.advance(0) is position.Arrival.NEXT
+    assert place.advance(0) is position.Arrival.REPEATED
     assert place.open_page(_page(earliest=5, end=9))
     assert (place.origin, place.next_offset, place.caught_up) == (5, 5, False)
-    assert place.take(7) is position.Arrival.GAP
+    assert place.advance(7) is position.Arrival.GAP
     assert (place.origin, place.next_offset) == (7, 8)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -169,7 +169,7 @@
             times=times,
             new_id=_new_id,
         )
-        book = order.OrderBook(
+        tracker = order.OrderTracker(
             authority=held,
             times=order.OrderTimes(
                 pause_allowance_s=settings.pause_allowance_s
@@ -179,7 +179,7 @@
         group = group_module.Group(
             name=name,
             parts=group_module.GroupParts(
-                book=book,
+                order_tracker=tracker,
                 append=self._append,
                 send_order=self._send_order,
                 ask_drain=self._parts.orders.ask_drain,
@@ -190,7 +190,7 @@
         self._groups.append(group)
 
         def take(page: record.Page) -> None:
-            book.apply_page(page, self._parts.timers.now)
+            tracker.apply_page(page, self._parts.timers.now)
 
         self._tails.append(
             logclient.LogTail(
@@ -208,7 +208,7 @@
         for group in self._groups:
             self._update_engines(group)
             group.lease.set_rank(self._rank(group))
-            acting = group.lease.acting(now)
+            acting = group.lease.holds_lease(now)
             group.tick(now)
             self._log_change(group, acting)
 
@@ -310,20 +310,20 @@
     def _send_order(
         self, group: group_module.Group, wanted: engineorder.Order
     ) -> None:
-        book, timers = group.book, self._parts.timers
+        tracker, timers = group.order_tracker, self._parts.timers
 
         def check() -> bool:
             # Asked in the turn of the write, on a connection opened before:
             # the lease may have run out, or the order changed, meanwhile.
-            if not book.may_send(wanted, timers.now):
+            if not tracker.may_send(wanted, timers.now):
                 return False
-            book.sent(wanted, timers.now)
+            tracker.sent(wanted, timers.now)
             return True
 
         async def send() -> None:
             reply = await self._parts.orders.send(wanted, check)
             if reply is not None:
-                book.answered(wanted, reply, timers.now)
+                tracker.answered(wanted, reply, timers.now)
 
         task.spawn(
             send(),
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
@@ -42,7 +42,7 @@
 class _Shard:
     """One shard with its reader and those who wait for news."""
 
-    def __init__(self, *, view: once.Once):
+    def __init__(self, *, view: once.OnceShard):
         self.view = view
         self.tail: logclient.LogTail | None = None
         self._waiters: list[defer.Deferred] = []
@@ -131,7 +131,7 @@
                 {
                     "caught_up": shard.view.caught_up,
                     "keys": len(shard.view.fold),
-                    "unsettled": shard.view.unsettled,
+                    "unsettled": shard.view.pending_claims,
                     "reader": shard.tail.dump(),
                 }
                 for shard in self._shards
@@ -179,7 +179,7 @@
             stored.failure(), logclient.NotStored
         )
         if not_stored:
-            view.failed(claim_id)
+            view.append_failed(claim_id)
             return self._log_away(stored.failure().reason)
         give_up = job.work.deadline
         if isinstance(stored, Failure):
@@ -194,7 +194,7 @@
             self._append(view.abandon(claim_id, self._timers.now))
             return self._tell(decision)
         job.may_write = lambda: view.start(claim_id, self._timers.now)
-        job.turned_away = lambda: view.turned_away(claim_id)
+        job.turned_away = lambda: view.mark_not_started(claim_id)
         job.may_retry = lambda: view.may_start(claim_id, self._timers.now)
         outcome = await attempt(job)
         self._end(view, claim_id, outcome)
@@ -225,7 +225,9 @@
                 return decision
             await shard.wait()
 
-    def _end(self, view: once.Once, claim_id: str, outcome: Outcome) -> None:
+    def _end(
+        self, view: once.OnceShard, claim_id: str, outcome: Outcome
+    ) -> None:
         now = self._timers.now
         if isinstance(outcome, plain.PlainAnswer):
             self._counts["ran"] += 1
@@ -286,7 +288,7 @@
         rng: random.Random,
         on_broken: Callable[[str], None],
     ) -> _Shard:
-        view = once.Once(
+        view = once.OnceShard(
             shard=number,
             runner=runner,
             limits=self._limits,
@@ -319,7 +321,7 @@
             self._writer.append(append)
 
     def _unsettled(self) -> int:
-        return sum(shard.view.unsettled for shard in self._shards)
+        return sum(shard.view.pending_claims for shard in self._shards)
 
 
 def _content_type(answer: plain.PlainAnswer) -> str:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
@@ -183,7 +183,7 @@
             if isinstance(appended, Failure):
                 return appended
             number = appended.unwrap()
-            self._turn.take(self._turn.holder, number, now=self._timers.now)
+            self._turn.apply(self._turn.holder, number, now=self._timers.now)
             # Some receivers take a number of zero for none.
             if number > 0:
                 self._pass_on(record, number)
@@ -198,7 +198,7 @@
         for place, content in enumerate(contents):
             record = orderrecords.parse(content)
             holder = None if record is None else record.holder
-            self._turn.take(holder, first + place, now=now)
+            self._turn.apply(holder, first + place, now=now)
             if record is not None:
                 self._pass_on(record, first + place)
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
@@ -34,11 +34,11 @@
     return service, place
 
 
-def seen_of(load: engine.EngineLoad) -> engineorder.Seen:
+def seen_of(load: engine.EngineLoad) -> engineorder.EngineReport:
     """Returns what an engine's report says of what it is."""
-    return engineorder.Seen(
+    return engineorder.EngineReport(
         state=load.state,
-        now=wanted_of(load),
+        current=wanted_of(load),
         order_id=load.order_id or "",
         number=-1 if load.term is None else load.term,
     )
@@ -59,7 +59,7 @@
     """What a group works with.
 
     Attributes:
-        book: The orders; it holds the lease.
+        order_tracker: The orders; it holds the lease.
         append: Appends a record; calls back with its id if it was certainly
             not stored.
         send_order: Writes an order to its engine.
@@ -69,7 +69,7 @@
             second, in tokens.
     """
 
-    book: order.OrderBook
+    order_tracker: order.OrderTracker
     append: Callable[[record.Append, Callable[[str], None]], None]
     send_order: Callable[[Any, engineorder.Order], None]
     ask_drain: Callable[[str], None]
@@ -102,14 +102,14 @@
         return self._name
 
     @property
-    def book(self) -> order.OrderBook:
+    def order_tracker(self) -> order.OrderTracker:
         """The orders of the group."""
-        return self._parts.book
+        return self._parts.order_tracker
 
     @property
     def lease(self) -> lease.Lease:
         """The lease of this candidate."""
-        return self._parts.book.authority
+        return self._parts.order_tracker.authority
 
     @property
     def counts(self) -> dict[str, int]:
@@ -145,10 +145,10 @@
         """
         self._live = live
         for address in self._engines.keys() - engines.keys():
-            self.book.remove_engine(address)
+            self.order_tracker.remove_engine(address)
             self._loads.pop(address, None)
         for address in engines:
-            self.book.set_engine(address, fencing=fencing[address])
+            self.order_tracker.set_engine(address, fencing=fencing[address])
         self._engines = engines
 
     def observe(
@@ -159,7 +159,7 @@
             return
         self._loads[address] = load
         self._seen_at = now
-        self.book.observe(address, seen_of(load), now)
+        self.order_tracker.observe(address, seen_of(load), now)
         if self._change is not None and self._change.engine == address:
             self._change.note_load(
                 rolechange.Load(
@@ -178,10 +178,10 @@
     def tick(self, now: float) -> None:
         """Does what is due: renews, orders, changes roles."""
         for append in self.lease.tick(now):
-            self._parts.append(append, self.lease.failed)
-        for append in self.book.due(now):
-            self._parts.append(append, self.book.failed)
-        for each in self.book.sendable(now):
+            self._parts.append(append, self.lease.append_failed)
+        for append in self.order_tracker.due(now):
+            self._parts.append(append, self.order_tracker.append_failed)
+        for each in self.order_tracker.sendable(now):
             self._counts["orders_sent"] += 1
             self._parts.send_order(self, each)
         self._note_acting(now)
@@ -195,9 +195,9 @@
         Only the holder of the lease plans, and never two changes at a time:
         the effect of one has to show before the next is judged.
         """
-        if not self.lease.acting(now) or self._change is not None:
+        if not self.lease.holds_lease(now) or self._change is not None:
             return
-        if self.book.fold.unfinished or not self._engines:
+        if self.order_tracker.fold.unfinished or not self._engines:
             return
         proposed = self._plan.propose(self._view(), now)
         if proposed is None:
@@ -222,14 +222,14 @@
         change = self._change
         return {
             "phase": self.lease.phase,
-            "acting": self.lease.acting(now),
+            "acting": self.lease.holds_lease(now),
             "term": self.lease.term,
             "current_term": self.lease.fold.term,
-            "lease_left_s": max(0.0, self.lease.until - now),
+            "lease_left_s": max(0.0, self.lease.expires_at - now),
             "engines": sorted(self._engines),
             "unfinished": {
                 address: attrs.asdict(each)
-                for address, each in self.book.fold.unfinished.items()
+                for address, each in self.order_tracker.fold.unfinished.items()
             },
             "change": None
             if change is None
@@ -243,7 +243,7 @@
         }
 
     def _note_acting(self, now: float) -> None:
-        acting = self.lease.acting(now)
+        acting = self.lease.holds_lease(now)
         if acting and not self._was_acting:
             self._counts["terms"] += 1
         if self._was_acting and not acting and self._change is not None:
@@ -254,7 +254,7 @@
         change = self._change
         if change is None:
             return
-        unfinished = self.book.fold.unfinished
+        unfinished = self.order_tracker.fold.unfinished
         load = self._loads.get(change.engine)
         if (
             change.phase == "ordering"
@@ -268,10 +268,14 @@
         if action is rolechange.Action.ASK_DRAIN:
             self._parts.ask_drain(change.engine)
         elif action is rolechange.Action.PROPOSE:
-            intent = self.book.propose(change.engine, change.target, now)
+            intent = self.order_tracker.propose(
+                change.engine, change.target, now
+            )
             if isinstance(intent, Success):
                 change.note_proposed()
-                self._parts.append(intent.unwrap(), self.book.failed)
+                self._parts.append(
+                    intent.unwrap(), self.order_tracker.append_failed
+                )
         if change.over:
             self._change = None
 
@@ -285,27 +289,29 @@
         changing = None if self._change is None else self._change.engine
         stranded = {
             address
-            for address in self.book.stranded()
+            for address in self.order_tracker.draining_without_order()
             if address in self._live and address != changing
         }
         self._stranded_since = {
             address: self._stranded_since.get(address, now)
             for address in stranded
         }
-        if not self.lease.acting(now):
+        if not self.lease.holds_lease(now):
             return
         for address, since in self._stranded_since.items():
             if now < since + STRANDED_S:
                 continue
             load = self._loads[address]
-            intent = self.book.propose(address, wanted_of(load), now)
+            intent = self.order_tracker.propose(address, wanted_of(load), now)
             if isinstance(intent, Success):
-                self._parts.append(intent.unwrap(), self.book.failed)
+                self._parts.append(
+                    intent.unwrap(), self.order_tracker.append_failed
+                )
 
     def _hold_engines(self, now: float) -> None:
         changing = self._change
         for address in self._engines:
-            held = address in self.book.fold.unfinished
+            held = address in self.order_tracker.fold.unfinished
             if changing is not None and changing.engine == address:
                 held |= changing.share(now) == 0.0
             self._parts.hold(address, held)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -20,8 +20,8 @@
 from returns.result import Result
 from returns.result import Success
 
-from bulrushgrade import truetime
 from bulrushgrade import usagewindows
+from bulrushgrade import wallclock
 from bulrushgrade import workspaces
 from bulrushgrade_daemon import decisionlog
 from bulrushgrade_daemon import fencedactions
@@ -114,7 +114,7 @@
         self._log = log
         self._on_broken = on_broken
         self._time_of_day = time_of_day
-        self._time = truetime.TrueTime()
+        self._time = wallclock.WallClock()
         self._meter = usagewindows.UsageMeter(windows=windows)
         self._note_clock()
         self._first = windows.number(self._now)
@@ -172,7 +172,7 @@
             at: When, by the steady clock.
         """
         if workspace is not None:
-            self._meter.note(workspace.name, self._time.at(at))
+            self._meter.note(workspace.name, self._time.time_at(at))
 
     def receive(self, message: Any) -> None:
         """Takes a peer's counts, its reply to counts, or that it reports."""
@@ -188,10 +188,10 @@
 
     @property
     def _now(self) -> float:
-        return self._time.at(self._timers.now)
+        return self._time.time_at(self._timers.now)
 
     def _note_clock(self) -> None:
-        self._time.note(self._time_of_day(), self._timers.now)
+        self._time.add_sample(self._time_of_day(), self._timers.now)
 
     def _check(self) -> None:
         self._note_clock()
--- a/packages/bulrushgrade_daemon/tests/test_group.py
+++ b/packages/bulrushgrade_daemon/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Tests of one group's turns, with a book of orders that is made up."""
+"""Tests of one group's turns, with a tracker of orders that is made up."""
 
 import types
 
@@ -12,16 +12,18 @@
 ADDRESS = "127.0.0.1:9001"
 
 
-class _Book:
+class _OrderTracker:
     def __init__(self):
         self.proposed = []
         self.fold = types.SimpleNamespace(unfinished={})
         self.authority = types.SimpleNamespace(
-            acting=lambda now: True, tick=lambda now: (), failed=None
+            holds_lease=lambda now: True,
+            tick=lambda now: (),
+            append_failed=None,
         )
-        self.failed = None
+        self.append_failed = None
 
-    def stranded(self):
+    def draining_without_order(self):
         return (ADDRESS,)
 
     def due(self, now):
@@ -42,11 +44,11 @@
 
 
 def _group(live):
-    book, appended = _Book(), []
+    tracker, appended = _OrderTracker(), []
     made = group.Group(
         name="assistant.coastal-plain",
         parts=group.GroupParts(
-            book=book,
+            order_tracker=tracker,
             append=lambda append, failed: appended.append(append),
             send_order=None,
             ask_drain=None,
@@ -60,26 +62,26 @@
     )
     load = engine.EngineLoad(role="decode", model="model", state="draining")
     made.observe(ADDRESS, load, 0.0)
-    return made, book, appended
+    return made, tracker, appended
 
 
 def test_engine_left_draining_by_a_lost_holder_is_brought_back():
     # A group stays one engine short: its holder asked an engine to drain for
     # a change of role and died before the order, so nothing ends the drain.
-    made, book, appended = _group([ADDRESS])
+    made, tracker, appended = _group([ADDRESS])
     made.tick(1.0)
     made.tick(group.STRANDED_S)
-    assert book.proposed == []
+    assert tracker.proposed == []
     made.tick(1.0 + group.STRANDED_S)
-    assert book.proposed == [(ADDRESS, "decode")]
+    assert tracker.proposed == [(ADDRESS, "decode")]
     assert len(appended) == 1
 
 
 def test_engine_that_the_platform_drains_is_left_alone():
-    made, book, _ = _group([])
+    made, tracker, _ = _group([])
     made.tick(1.0)
     made.tick(2.0 + group.STRANDED_S)
-    assert book.proposed == []
+    assert tracker.proposed == []
 
 
 def test_names_and_numbers_of_a_group():
