--- a/packages/bulrushgrade/bulrushgrade/fakeengine.py
+++ b/packages/bulrushgrade/bulrushgrade/fakeengine.py
@@ -12,7 +12,7 @@
 from bulrushgrade import orderlog
 
 # Reports kept to be shown late.
-HISTORY = 20
+MAX_REPORTS = 20
 
 
 @attrs.define(kw_only=True)
@@ -37,7 +37,7 @@
     on_change: Callable[[engineorder.Order, bool], None] = lambda order, busy: (
         None
     )
-    _what: orderlog.Wanted | None = None
+    _target: orderlog.Wanted | None = None
     _order_id: str = ""
     _number: int = -1
     _busy_until: float = 0.0
@@ -61,32 +61,32 @@
             if self.fencing and busy:
                 return engineorder.Reply.BUSY
             self.on_change(order, busy)
-            self._what, self._order_id = order.wanted, order.order_id
+            self._target, self._order_id = order.wanted, order.order_id
             self._busy_until = now + self.change_s
         self._number = max(self._number, order.number)
-        self._note(now)
+        self._record_report(now)
         return engineorder.Reply.ACCEPTED
 
     def crash(self, now: float, *, down: bool = False) -> None:
         """Forgets its order, and stays down or comes back at once."""
-        self._what, self._order_id = None, ""
+        self._target, self._order_id = None, ""
         self._busy_until, self._down = now, down
-        self._note(now)
+        self._record_report(now)
 
     def report(
         self, now: float, *, lag_s: float = 0.0
     ) -> engineorder.EngineReport:
         """Returns what it reported of itself some time ago."""
-        self._note(now)
-        del self._history[:-HISTORY]
+        self._record_report(now)
+        del self._history[:-MAX_REPORTS]
         old = [seen for at, seen in self._history if at <= now - lag_s]
         return old[-1] if old else self._history[0][1]
 
-    def _note(self, now: float) -> None:
+    def _record_report(self, now: float) -> None:
         state = "changing" if now < self._busy_until else "serving"
         seen = engineorder.EngineReport(
             state="down" if self._down else state,
-            current=self._what or self.initial,
+            current=self._target or self.initial,
             order_id=self._order_id,
             number=self._number,
         )
--- a/packages/bulrushgrade/bulrushgrade/lease.py
+++ b/packages/bulrushgrade/bulrushgrade/lease.py
@@ -21,7 +21,7 @@
 
 # Appends of this process whose send times are remembered. More are in flight
 # only when the log is away, and an older one could no longer extend a lease.
-MAX_SENT = 16
+MAX_TRACKED_APPENDS = 16
 
 
 @attrs.frozen(kw_only=True)
@@ -59,7 +59,7 @@
     def claim_sent(self) -> None:
         """A claim was handed out to be appended."""
 
-    def claim_over(self) -> None:
+    def claim_failed(self) -> None:
         """The claim lost, or was not read back in time."""
 
     def won(self) -> None:
@@ -92,7 +92,7 @@
         state.upon(_Phase.name).loop().returns(name)
         state.upon(_Phase.retire).to(retired).returns(None)
     watching.upon(_Phase.claim_sent).to(claiming).returns(None)
-    claiming.upon(_Phase.claim_over).to(watching).returns(None)
+    claiming.upon(_Phase.claim_failed).to(watching).returns(None)
     for state in (watching, claiming, holding, lapsed):
         state.upon(_Phase.won).to(holding).returns(None)
         state.upon(_Phase.superseded).to(watching).returns(None)
@@ -138,11 +138,11 @@
         self._fold = leaselog.LeaseFold()
         self._position = position.Position()
         self._phase = _PHASES(object())
-        self._sent: dict[str, float] = {}
+        self._sent_at: dict[str, float] = {}
         self._last_sent = -times.ttl_s
         self._own_term: int | None = None
         self._expires_at = 0.0
-        self._quiet_since: float | None = None
+        self._unchanged_since: float | None = None
 
     @property
     def stream(self) -> str:
@@ -190,12 +190,12 @@
     def apply_page(self, page: record.Page, now: float) -> None:
         """Takes a page of the stream."""
         if self._position.open_page(page):
-            self._skip(now)
+            self._handle_gap(now)
         for item in page.records:
             self.apply(item, now)
         self._position.close_page(page)
-        if self._quiet_since is None:
-            self._quiet_since = now
+        if self._unchanged_since is None:
+            self._unchanged_since = now
 
     def apply(self, item: record.Record, now: float) -> None:
         """Takes one record of the stream."""
@@ -203,20 +203,20 @@
         if arrival is position.Arrival.REPEATED:
             return
         if arrival is position.Arrival.GAP:
-            self._skip(now)
+            self._handle_gap(now)
         was_term_known = self._fold.is_term_known
         found = self._fold.apply(item)
         if found is None:
             return
         # An unjudged record may have been effective: wait for its lease too.
         if found or not was_term_known:
-            self._quiet_since = now
+            self._unchanged_since = now
         for entry in found:
-            self._take_effective(entry, now)
+            self._apply_effective(entry, now)
         if self._own_term is not None and self._fold.term != self._own_term:
-            self._lose()
+            self._lose_term()
         elif self.phase == "claiming" and found:
-            self._phase.claim_over()
+            self._phase.claim_failed()
 
     def tick(self, now: float) -> tuple[record.Append, ...]:
         """Returns what to append now; call it several times a second."""
@@ -224,13 +224,13 @@
         if phase == "holding" and now >= self._expires_at:
             self._phase.expired()
         if phase == "claiming" and now >= self._last_sent + self._times.ttl_s:
-            self._phase.claim_over()
+            self._phase.claim_failed()
         if now < self._last_sent + self._times.retry_s:
             return ()
         if phase == "retired" and self._owns_term():
             # A release whose answer was lost, or a claim that came through
             # after all: without this, candidates would wait for its TTL.
-            return (self._send(self._own(leaselog.Release), now),)
+            return (self._send(self._build_message(leaselog.Release), now),)
         if self._may_claim(now):
             self._phase.claim_sent()
             claim = leaselog.Claim(
@@ -238,14 +238,14 @@
             )
             return (self._send(claim, now),)
         if self._may_renew(now):
-            return (self._send(self._own(leaselog.Renew), now),)
+            return (self._send(self._build_message(leaselog.Renew), now),)
         return ()
 
     def append_failed(self, record_id: str) -> None:
         """Notes that an append certainly did not take effect."""
-        self._sent.pop(record_id, None)
+        self._sent_at.pop(record_id, None)
         if self.phase == "claiming":
-            self._phase.claim_over()
+            self._phase.claim_failed()
 
     def retire(self, now: float) -> record.Append | None:
         """Gives up authority for good; call it before a planned stop.
@@ -257,7 +257,11 @@
         """
         owned = self._owns_term()
         self._phase.retire()
-        return self._send(self._own(leaselog.Release), now) if owned else None
+        return (
+            self._send(self._build_message(leaselog.Release), now)
+            if owned
+            else None
+        )
 
     def _owns_term(self) -> bool:
         return self._own_term is not None and self._fold.term == self._own_term
@@ -265,7 +269,7 @@
     def _may_claim(self, now: float) -> bool:
         if self.phase != "watching" or self._rank is None:
             return False
-        if not self._position.caught_up or self._quiet_since is None:
+        if not self._position.caught_up or self._unchanged_since is None:
             return False
         wait_s = self._rank * self._times.stagger_s
         if not self._fold.is_term_known or self._fold.term is not None:
@@ -274,7 +278,7 @@
             # renewal before it could be read here, so TTL plus guard from
             # then on outlasts it as long as the rates differ by less.
             wait_s += self._times.ttl_s + self._times.guard_s
-        return now >= self._quiet_since + wait_s
+        return now >= self._unchanged_since + wait_s
 
     def _may_renew(self, now: float) -> bool:
         if self.phase not in ("holding", "lapsed") or not self._owns_term():
@@ -282,7 +286,7 @@
         granted_at = self._expires_at - self._times.ttl_s + self._times.guard_s
         return now >= granted_at + self._times.renew_every_s
 
-    def _own(self, kind: type) -> leaselog.LeaseMessage:
+    def _build_message(self, kind: type) -> leaselog.LeaseMessage:
         return kind(
             holder=self._name,
             term=self._own_term,
@@ -297,13 +301,13 @@
             record_id=self._new_id(),
             body=leaselog.CODEC.serialize(message),
         )
-        self._sent[append.record_id] = self._last_sent = now
-        if len(self._sent) > MAX_SENT:
-            del self._sent[next(iter(self._sent))]
+        self._sent_at[append.record_id] = self._last_sent = now
+        if len(self._sent_at) > MAX_TRACKED_APPENDS:
+            del self._sent_at[next(iter(self._sent_at))]
         return append
 
-    def _take_effective(self, entry: leaselog.Judged, now: float) -> None:
-        sent_at = self._sent.pop(entry.record_id, None)
+    def _apply_effective(self, entry: leaselog.Judged, now: float) -> None:
+        sent_at = self._sent_at.pop(entry.record_id, None)
         if sent_at is None or isinstance(entry.message, leaselog.Release):
             return
         self._own_term = self._fold.term
@@ -314,12 +318,12 @@
         if now >= self._expires_at:
             self._phase.expired()
 
-    def _lose(self) -> None:
+    def _lose_term(self) -> None:
         self._own_term = None
         if self.phase != "retired":
             self._phase.superseded()
 
-    def _skip(self, now: float) -> None:
+    def _handle_gap(self, now: float) -> None:
         self._fold.skip_to(self._position.origin)
-        self._quiet_since = now
-        self._lose()
+        self._unchanged_since = now
+        self._lose_term()
--- a/packages/bulrushgrade/bulrushgrade/leaselog.py
+++ b/packages/bulrushgrade/bulrushgrade/leaselog.py
@@ -15,7 +15,7 @@
 # Lease records that can't be judged yet, kept until a later record settles
 # them. A live group settles them within one renewal; what is dropped here
 # only delays that, since a dropped record is never believed.
-MAX_UNJUDGED = 256
+MAX_UNDECIDED = 256
 
 
 @attrs.frozen(kw_only=True)
@@ -100,11 +100,11 @@
 
     def __init__(self):
         self._is_term_known = True
-        self._last = -1
+        self._last_effective = -1
         self._last_seen = -1
         self._term: int | None = None
         self._holder = ""
-        self._unjudged: list[Judged] = []
+        self._undecided: list[Judged] = []
 
     @property
     def is_term_known(self) -> bool:
@@ -124,14 +124,14 @@
     @property
     def last_offset(self) -> int:
         """What a claim made now has to follow."""
-        return self._last if self._is_term_known else self._last_seen
+        return self._last_effective if self._is_term_known else self._last_seen
 
     def skip_to(self, origin: int) -> None:
         """Notes that the records before `origin` were trimmed unread."""
         self._is_term_known = False
         self._last_seen = origin - 1
         self._term, self._holder = None, ""
-        self._unjudged = []
+        self._undecided = []
 
     def apply(self, item: record.Record) -> tuple[Judged, ...] | None:
         """Takes the next record of the stream.
@@ -148,16 +148,22 @@
             record_id=item.record_id,
             message=parsed.unwrap(),
         )
-        return self._judge(entry) if self._is_term_known else self._weigh(entry)
+        return (
+            self._evaluate(entry)
+            if self._is_term_known
+            else self._evaluate_after_gap(entry)
+        )
 
-    def _judge(self, entry: Judged) -> tuple[Judged, ...]:
+    def _evaluate(self, entry: Judged) -> tuple[Judged, ...]:
         message = entry.message
         if isinstance(message, Claim):
-            effective = self._last <= message.after_offset < entry.offset
+            effective = (
+                self._last_effective <= message.after_offset < entry.offset
+            )
         elif isinstance(message, Renew):
             effective = (
                 message.term == self._term
-                and message.after_offset == self._last
+                and message.after_offset == self._last_effective
             )
         else:
             effective = message.term == self._term
@@ -167,7 +173,7 @@
 
     def _accept(self, entry: Judged) -> None:
         self._is_term_known = True
-        self._last = entry.offset
+        self._last_effective = entry.offset
         if isinstance(entry.message, Release):
             self._term, self._holder = None, ""
             return
@@ -175,31 +181,31 @@
         self._term = entry.offset if claimed else entry.message.term
         self._holder = entry.message.holder
 
-    def _weigh(self, entry: Judged) -> tuple[Judged, ...]:
+    def _evaluate_after_gap(self, entry: Judged) -> tuple[Judged, ...]:
         message, last_seen = entry.message, self._last_seen
         self._last_seen = entry.offset
         if isinstance(message, Claim):
             # All that could stand between is what was read since the gap.
             if message.after_offset < last_seen:
-                self._keep(entry)
+                self._add_undecided(entry)
                 return ()
             self._accept(entry)
-            self._unjudged = []
+            self._undecided = []
             return (entry,)
-        self._keep(entry)
-        for index, known in enumerate(self._unjudged):
+        self._add_undecided(entry)
+        for index, known in enumerate(self._undecided):
             if known.offset == message.after_offset:
-                return self._refold(index)
+                return self._replay_from(index)
         return ()
 
-    def _refold(self, index: int) -> tuple[Judged, ...]:
-        waiting, self._unjudged = self._unjudged[index:], []
+    def _replay_from(self, index: int) -> tuple[Judged, ...]:
+        waiting, self._undecided = self._undecided[index:], []
         self._accept(waiting[0])
         found = [waiting[0]]
         for entry in waiting[1:]:
-            found.extend(self._judge(entry))
+            found.extend(self._evaluate(entry))
         return tuple(found)
 
-    def _keep(self, entry: Judged) -> None:
-        self._unjudged.append(entry)
-        del self._unjudged[:-MAX_UNJUDGED]
+    def _add_undecided(self, entry: Judged) -> None:
+        self._undecided.append(entry)
+        del self._undecided[:-MAX_UNDECIDED]
--- a/packages/bulrushgrade/bulrushgrade/once.py
+++ b/packages/bulrushgrade/bulrushgrade/once.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Own:
+class _OwnClaim:
     """A claim of this process.
 
     Attributes:
@@ -74,7 +74,7 @@
         self._limits = limits
         self._new_id = new_id
         self._position = position.Position()
-        self._own: dict[str, _Own] = {}
+        self._own_claims: dict[str, _OwnClaim] = {}
         self._claim_of_key: dict[str, str] = {}
         self._claim_of_outcome: dict[str, str] = {}
         self._fold = oncelog.OnceFold(limits=limits)
@@ -106,7 +106,7 @@
     @property
     def pending_claims(self) -> int:
         """Own claims whose end has not been read back."""
-        return len(self._own)
+        return len(self._own_claims)
 
     def apply_page(self, page: record.Page, now: float) -> None:
         """Takes a page of the stream."""
@@ -122,7 +122,7 @@
         self._fold.apply(item, now)
         claim_id = self._claim_of_outcome.get(item.record_id)
         if claim_id is not None:
-            self._drop(claim_id)
+            self._remove_claim(claim_id)
 
     def claim(
         self, *, key: str, digest: str, now: float
@@ -147,8 +147,10 @@
             runner=self._runner,
             run_limit_s=self._limits.run_limit_s,
         )
-        append = self._append(message)
-        self._own[append.record_id] = _Own(key=key, digest=digest, sent_at=now)
+        append = self._make_append(message)
+        self._own_claims[append.record_id] = _OwnClaim(
+            key=key, digest=digest, sent_at=now
+        )
         self._claim_of_key[key] = append.record_id
         return Success(append)
 
@@ -168,17 +170,17 @@
             return errors.OnceNotReady()
         entry = self._fold.find(key)
         if entry is not None and entry.state is not oncelog.State.ABANDONED:
-            return self._decide_held(entry, digest, now, claim_id)
-        own = self._own.get(claim_id)
+            return self._decide_claimed(entry, digest, now, claim_id)
+        own = self._own_claims.get(claim_id)
         if own is not None and own.outcome is None:
             in_time = now < own.sent_at + self._limits.start_limit_s
             return oncedecision.Pending() if in_time else oncedecision.Late()
-        rival = self._rival_of(key, now)
-        return rival if rival is not None else oncedecision.Free()
+        concurrent = self._find_concurrent_claim(key, now)
+        return concurrent if concurrent is not None else oncedecision.Free()
 
     def may_start(self, claim_id: str, now: float) -> bool:
         """Whether the request of a claim may be written to its endpoint."""
-        own = self._own.get(claim_id)
+        own = self._own_claims.get(claim_id)
         if own is None or own.started or own.outcome is not None:
             return False
         entry = self._fold.find(own.key)
@@ -203,7 +205,7 @@
         """
         if not self.may_start(claim_id, now):
             return False
-        self._own[claim_id].started = True
+        self._own_claims[claim_id].started = True
         return True
 
     def mark_not_started(self, claim_id: str) -> None:
@@ -213,7 +215,7 @@
         start the request, and never will: then no run stands against another
         endpoint's.
         """
-        own = self._own.get(claim_id)
+        own = self._own_claims.get(claim_id)
         if own is None or not own.started or own.outcome is not None:
             raise errors.BrokenInvariantError(f"{claim_id} does not run")
         own.started = False
@@ -238,14 +240,14 @@
             The record to append, which `due` repeats until it is read back,
             or None where the key's life is over.
         """
-        own = self._own.get(claim_id)
+        own = self._own_claims.get(claim_id)
         if own is None:
             return None
         if not own.started or own.outcome is not None:
             raise errors.BrokenInvariantError(f"{claim_id} does not run")
         if answer and len(answer.body) > self._limits.answer_bytes:
             answer = None
-        return self._end(
+        return self._make_outcome(
             own,
             oncelog.Done(
                 key=own.key,
@@ -266,17 +268,17 @@
         Returns:
             The record to append, or None where the claim has ended already.
         """
-        own = self._own.get(claim_id)
+        own = self._own_claims.get(claim_id)
         if own is None or own.outcome is not None:
             return None
         own.started = True
-        return self._end(
+        return self._make_outcome(
             own, oncelog.Abandon(key=own.key, claim_id=claim_id), now
         )
 
     def append_failed(self, claim_id: str) -> None:
         """Notes that the append of a claim certainly did not take effect."""
-        self._drop(claim_id)
+        self._remove_claim(claim_id)
 
     def due(self, now: float) -> tuple[record.Append, ...]:
         """Returns outcomes to append again; call it at each tick.
@@ -284,16 +286,16 @@
         An outcome that was lost with the log's answer would leave its key
         unknown to all. The copies carry one id and have one effect.
         """
-        self._drop_expired(now)
+        self._remove_expired(now)
         found = []
-        for own in self._own.values():
+        for own in self._own_claims.values():
             retry_at = own.outcome_sent_at + self._limits.retry_s
             if own.outcome is not None and now >= retry_at:
                 own.outcome_sent_at = now
                 found.append(own.outcome)
         return tuple(found)
 
-    def _decide_held(
+    def _decide_claimed(
         self, entry: oncelog.Entry, digest: str, now: float, claim_id: str
     ) -> oncedecision.Decision:
         if entry.digest != digest:
@@ -304,7 +306,7 @@
                 if entry.known
                 else oncedecision.Unknown()
             )
-        own = self._own.get(claim_id)
+        own = self._own_claims.get(claim_id)
         if entry.claim_id == claim_id and own and not own.started:
             return (
                 oncedecision.Run()
@@ -320,13 +322,15 @@
             )
         return oncedecision.Unknown()
 
-    def _rival_of(self, key: str, now: float) -> oncedecision.Running | None:
+    def _find_concurrent_claim(
+        self, key: str, now: float
+    ) -> oncedecision.Running | None:
         """Finds an own claim of the key that is still under way.
 
         Two requests of one key on one daemon would else both claim it; the
         second claim would only load the log.
         """
-        own = self._own.get(self._claim_of_key.get(key, ""))
+        own = self._own_claims.get(self._claim_of_key.get(key, ""))
         if own is None or own.outcome is not None:
             return None
         ends_at = own.sent_at + self._limits.start_limit_s
@@ -339,15 +343,18 @@
     def _retry_after_s(self, at_most_s: float) -> float:
         return min(max(at_most_s, self._limits.retry_s), MAX_RETRY_AFTER_S)
 
-    def _end(
-        self, own: _Own, message: oncelog.Done | oncelog.Abandon, now: float
+    def _make_outcome(
+        self,
+        own: _OwnClaim,
+        message: oncelog.Done | oncelog.Abandon,
+        now: float,
     ) -> record.Append:
-        own.outcome = self._append(message)
+        own.outcome = self._make_append(message)
         own.outcome_sent_at = now
         self._claim_of_outcome[own.outcome.record_id] = message.claim_id
         return own.outcome
 
-    def _append(
+    def _make_append(
         self, message: oncelog.Claim | oncelog.Done | oncelog.Abandon
     ) -> record.Append:
         return record.Append(
@@ -356,8 +363,8 @@
             body=oncelog.CODEC.serialize(message),
         )
 
-    def _drop(self, claim_id: str) -> None:
-        own = self._own.pop(claim_id, None)
+    def _remove_claim(self, claim_id: str) -> None:
+        own = self._own_claims.pop(claim_id, None)
         if own is None:
             return
         if self._claim_of_key.get(own.key) == claim_id:
@@ -365,9 +372,9 @@
         if own.outcome is not None:
             del self._claim_of_outcome[own.outcome.record_id]
 
-    def _drop_expired(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         # In order of sending, so the first that is not expired ends it.
-        for claim_id, own in list(self._own.items()):
+        for claim_id, own in list(self._own_claims.items()):
             if now < own.sent_at + self._limits.key_life_s:
                 return
-            self._drop(claim_id)
+            self._remove_claim(claim_id)
--- a/packages/bulrushgrade/bulrushgrade/oncelog.py
+++ b/packages/bulrushgrade/bulrushgrade/oncelog.py
@@ -193,7 +193,7 @@
         self._entries: collections.OrderedDict[str, Entry] = (
             collections.OrderedDict()
         )
-        self._answered: collections.OrderedDict[str, int] = (
+        self._answer_sizes: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
@@ -226,11 +226,11 @@
             return
         message = parsed.unwrap()
         if isinstance(message, Claim):
-            self._claim(message, item.record_id, now)
+            self._apply_claim(message, item.record_id, now)
         elif isinstance(message, Done):
-            self._done(message, now)
+            self._apply_done(message, now)
         else:
-            self._abandon(message, now)
+            self._apply_abandon(message, now)
         # Whatever its effect, a record of the key keeps it from being
         # forgotten: a reader that ignored a claim must not claim the key
         # itself while another reader may have let that claim run.
@@ -239,7 +239,7 @@
             entry.touched_at = now
             self._entries.move_to_end(message.key)
 
-    def _claim(self, message: Claim, claim_id: str, now: float) -> None:
+    def _apply_claim(self, message: Claim, claim_id: str, now: float) -> None:
         entry = self._entries.get(message.key)
         abandoned: tuple[str, ...] = ()
         if entry is not None:
@@ -255,7 +255,7 @@
             abandoned=abandoned,
         )
 
-    def _done(self, message: Done, now: float) -> None:
+    def _apply_done(self, message: Done, now: float) -> None:
         # Only the runner of an effective claim writes this. So it tells that
         # the key was run even where this reader missed the claim or saw only
         # a second copy of an earlier one.
@@ -280,9 +280,9 @@
         entry.answer = None
         self._drop_answer(message.key)
         if message.answer is not None:
-            self._keep_answer(message.key, entry, message.answer)
+            self._store_answer(message.key, entry, message.answer)
 
-    def _abandon(self, message: Abandon, now: float) -> None:
+    def _apply_abandon(self, message: Abandon, now: float) -> None:
         # It may stand before its claim, when the claim's append was slow and
         # its runner gave up meanwhile: the id is noted in any case.
         entry = self._entries.get(message.key)
@@ -303,14 +303,14 @@
             ids = (*entry.abandoned, message.claim_id)
             entry.abandoned = ids[-MAX_ABANDONED:]
 
-    def _keep_answer(self, key: str, entry: Entry, answer: Answer) -> None:
+    def _store_answer(self, key: str, entry: Entry, answer: Answer) -> None:
         entry.answer = answer
-        self._answered[key] = len(answer.body)
+        self._answer_sizes[key] = len(answer.body)
         self._answer_bytes += len(answer.body)
         while self._answer_bytes > self._limits.answer_memory_bytes:
-            oldest = next(iter(self._answered))
+            oldest = next(iter(self._answer_sizes))
             self._entries[oldest].answer = None
             self._drop_answer(oldest)
 
     def _drop_answer(self, key: str) -> None:
-        self._answer_bytes -= self._answered.pop(key, 0)
+        self._answer_bytes -= self._answer_sizes.pop(key, 0)
--- a/packages/bulrushgrade/bulrushgrade/order.py
+++ b/packages/bulrushgrade/bulrushgrade/order.py
@@ -102,7 +102,7 @@
         self._position = position.Position()
         self._fold = orderlog.OrderFold()
         self._engines: dict[str, _Engine] = {}
-        self._engine_of: dict[str, str] = {}
+        self._append_engine: dict[str, str] = {}
         self._held_term: int | None = None
         self._held_since = 0.0
 
@@ -130,7 +130,7 @@
         """Forgets an engine that left the fleet."""
         known = self._engines.pop(engine, None)
         if known is not None and known.append is not None:
-            del self._engine_of[known.append.record_id]
+            del self._append_engine[known.append.record_id]
 
     def observe(
         self, engine: str, seen: engineorder.EngineReport, now: float
@@ -165,7 +165,7 @@
         if self._lease.term != self._held_term:
             self._held_term, self._held_since = self._lease.term, now
         self._fold.apply(item, self._lease.fold.term)
-        known = self._engines.get(self._engine_of.pop(item.record_id, ""))
+        known = self._engines.get(self._append_engine.pop(item.record_id, ""))
         if known is not None:
             known.append, known.intent_at = None, now
 
@@ -217,27 +217,27 @@
             return Failure(errors.OrderRefused(reason="not the holder"))
         if engine in self._fold.unfinished or known.append is not None:
             return Failure(errors.OrderRefused(reason="order unfinished"))
-        if not known.fencing and now < self._safe_from():
+        if not known.fencing and now < self._safe_write_time():
             return Failure(errors.OrderRefused(reason="last holder may write"))
-        if not self._is_seen_well(known):
+        if not self._has_fresh_report(known):
             return Failure(errors.OrderRefused(reason="engine not seen"))
         # What the last order had to wait for does not hold this one back.
         known.write_after = -math.inf
         order_id = self._new_id()
-        return Success(self._intend(engine, order_id, wanted, now))
+        return Success(self._add_intent(engine, order_id, wanted, now))
 
     def due(self, now: float) -> tuple[record.Append, ...]:
         """Returns records to append; call it at each tick."""
         found = []
         for name, known in self._engines.items():
-            append = self._due_of(name, known, now)
+            append = self._find_due_append(name, known, now)
             if append is not None:
                 found.append(append)
         return tuple(found)
 
     def append_failed(self, record_id: str) -> None:
         """Notes that an append certainly did not take effect."""
-        known = self._engines.get(self._engine_of.pop(record_id, ""))
+        known = self._engines.get(self._append_engine.pop(record_id, ""))
         if known is not None:
             known.append = None
 
@@ -266,11 +266,11 @@
             return False
         if current.number != order.number or current.term != self._lease.term:
             return False
-        if self._is_through(known, current):
+        if self._is_done(known, current):
             return False
         if known.open_writes or now < known.write_after:
             return False
-        return known.fencing or now >= self._safe_from()
+        return known.fencing or now >= self._safe_write_time()
 
     def sent(self, order: engineorder.Order, now: float) -> None:
         """Notes that an order's first byte is written in this turn.
@@ -296,14 +296,14 @@
         elif reply is engineorder.Reply.ACCEPTED:
             known.write_after = now + self._times.change_limit_s
 
-    def _is_seen_well(self, known: _Engine) -> bool:
+    def _has_fresh_report(self, known: _Engine) -> bool:
         return (
             known.seen is not None
             and known.seen.state in ("serving", "draining")
             and known.seen_at >= self._held_since
         )
 
-    def _is_through(self, known: _Engine, order: orderlog.Unfinished) -> bool:
+    def _is_done(self, known: _Engine, order: orderlog.Unfinished) -> bool:
         seen = known.seen
         if seen is None or seen.state != "serving":
             return False
@@ -314,13 +314,13 @@
         # middle of a write, still sends; so the order goes out again first.
         return not known.fencing or seen.number > order.term
 
-    def _safe_from(self) -> float:
+    def _safe_write_time(self) -> float:
         # An engine that ignores numbers would carry out what the last holder
         # still has under way, when that was paused between its check and its
         # write. Waiting longer than such a write can take is all there is.
         return self._held_since + self._times.pause_allowance_s
 
-    def _due_of(
+    def _find_due_append(
         self, name: str, known: _Engine, now: float
     ) -> record.Append | None:
         if known.append is not None:
@@ -338,12 +338,14 @@
         if order.term != self._lease.term or (
             now >= known.intent_at + self._times.refresh_s
         ):
-            return self._intend(name, order.order_id, order.wanted, now)
-        if self._is_through(known, order) and self._is_quiet(known, now):
-            return self._end(name, order.order_id, known.seen.current, now)
+            return self._add_intent(name, order.order_id, order.wanted, now)
+        if self._is_done(known, order) and self._is_settled(known, now):
+            return self._add_outcome(
+                name, order.order_id, known.seen.current, now
+            )
         return None
 
-    def _is_quiet(self, known: _Engine, now: float) -> bool:
+    def _is_settled(self, known: _Engine, now: float) -> bool:
         # A write whose answer was lost may still be under way. An engine that
         # ignores numbers would carry it out after the next order; one that
         # checks them refuses it then.
@@ -352,9 +354,9 @@
         if known.fencing:
             return True
         lost_until = known.lost_at + self._times.pause_allowance_s
-        return now >= max(lost_until, self._safe_from())
+        return now >= max(lost_until, self._safe_write_time())
 
-    def _intend(
+    def _add_intent(
         self,
         engine: str,
         order_id: str,
@@ -368,9 +370,9 @@
             term=self._lease.term,
             after_offset=self._position.next_offset - 1,
         )
-        return self._hand_out(engine, message, now)
+        return self._track_append(engine, message, now)
 
-    def _end(
+    def _add_outcome(
         self, engine: str, order_id: str, seen: orderlog.Wanted, now: float
     ) -> record.Append:
         message = orderlog.Outcome(
@@ -379,9 +381,9 @@
             seen=seen,
             term=self._lease.term,
         )
-        return self._hand_out(engine, message, now)
+        return self._track_append(engine, message, now)
 
-    def _hand_out(
+    def _track_append(
         self,
         engine: str,
         message: orderlog.Intent | orderlog.Outcome,
@@ -394,5 +396,5 @@
             body=orderlog.CODEC.serialize(message),
         )
         known.append_term, known.append_at = message.term, now
-        self._engine_of[known.append.record_id] = engine
+        self._append_engine[known.append.record_id] = engine
         return known.append
--- a/packages/bulrushgrade/bulrushgrade/orderlog.py
+++ b/packages/bulrushgrade/bulrushgrade/orderlog.py
@@ -102,8 +102,8 @@
 
     def __init__(self):
         self._origin = 0
-        self._last: dict[str, int] = {}
-        self._clear: set[str] = set()
+        self._last_offsets: dict[str, int] = {}
+        self._complete: set[str] = set()
         self._unfinished: dict[str, Unfinished] = {}
 
     @property
@@ -114,8 +114,8 @@
     def skip_to(self, origin: int) -> None:
         """Notes that the records before `origin` were trimmed unread."""
         self._origin = origin
-        self._last.clear()
-        self._clear.clear()
+        self._last_offsets.clear()
+        self._complete.clear()
         self._unfinished.clear()
 
     def apply(self, item: record.Record, term: int | None) -> None:
@@ -133,21 +133,21 @@
         if term is None or message.term != term:
             return
         if isinstance(message, Intent):
-            self._intend(message, item.offset)
+            self._apply_intent(message, item.offset)
         else:
-            self._end(message, item.offset)
+            self._apply_outcome(message, item.offset)
 
-    def _is_clear(self, engine: str) -> bool:
-        return self._origin == 0 or engine in self._clear
+    def _has_complete_history(self, engine: str) -> bool:
+        return self._origin == 0 or engine in self._complete
 
-    def _intend(self, message: Intent, offset: int) -> None:
+    def _apply_intent(self, message: Intent, offset: int) -> None:
         engine = message.engine
-        if self._is_clear(engine):
-            if self._last.get(engine, -1) > message.after_offset:
+        if self._has_complete_history(engine):
+            if self._last_offsets.get(engine, -1) > message.after_offset:
                 return
         elif message.after_offset >= self._origin - 1:
-            self._clear.add(engine)
-        self._last[engine] = offset
+            self._complete.add(engine)
+        self._last_offsets[engine] = offset
         self._unfinished[engine] = Unfinished(
             order_id=message.order_id,
             wanted=message.wanted,
@@ -155,9 +155,9 @@
             number=offset,
         )
 
-    def _end(self, message: Outcome, offset: int) -> None:
+    def _apply_outcome(self, message: Outcome, offset: int) -> None:
         running = self._unfinished.get(message.engine)
         if running is None or running.order_id != message.order_id:
             return
-        self._last[message.engine] = offset
+        self._last_offsets[message.engine] = offset
         del self._unfinished[message.engine]
--- a/packages/bulrushgrade/bulrushgrade/orderturn.py
+++ b/packages/bulrushgrade/bulrushgrade/orderturn.py
@@ -51,7 +51,7 @@
         self._holder = holder
         self._turn_s = lease_s + SEND_WITHIN_S + GUARD_S
         self._end = 0
-        self._other_seen_at: float | None = None
+        self._other_host_seen_at: float | None = None
 
     @property
     def holder(self) -> str:
@@ -74,17 +74,17 @@
         """
         self._end = max(self._end, offset + 1)
         if holder != self._holder:
-            self._other_seen_at = now
+            self._other_host_seen_at = now
 
     def skip_to(self, offset: int, *, now: float) -> None:
         """Notes that records up to an offset were dropped unread."""
         if offset > self._end:
             self._end = offset
-            self._other_seen_at = now
+            self._other_host_seen_at = now
 
     def may_append(self, now: float) -> bool:
         """Returns whether this host's turn has come."""
-        seen_at = self._other_seen_at
+        seen_at = self._other_host_seen_at
         return seen_at is None or now - seen_at >= self._turn_s
 
     def may_send(self, appended_at: float, now: float) -> bool:
--- a/packages/bulrushgrade/bulrushgrade/timer.py
+++ b/packages/bulrushgrade/bulrushgrade/timer.py
@@ -36,7 +36,7 @@
 
     def __init__(self, *, now: float = 0.0):
         self._now = now
-        self._order = itertools.count()
+        self._serials = itertools.count()
         self._due: list[tuple[float, int, Subscription]] = []
 
     @property
@@ -93,4 +93,4 @@
         return called
 
     def _push(self, due: float, subscription: Subscription) -> None:
-        heapq.heappush(self._due, (due, next(self._order), subscription))
+        heapq.heappush(self._due, (due, next(self._serials), subscription))
--- a/packages/bulrushgrade/bulrushgrade/wallclock.py
+++ b/packages/bulrushgrade/bulrushgrade/wallclock.py
@@ -17,21 +17,21 @@
 
     def __init__(self):
         """Makes a clock that was never compared."""
-        self._ahead_s: collections.deque[float] = collections.deque(
+        self._offsets_s: collections.deque[float] = collections.deque(
             maxlen=SAMPLES
         )
-        self._median_s = 0.0
+        self._median_offset_s = 0.0
 
-    def add_sample(self, time_of_day_s: float, steady_s: float) -> None:
+    def add_sample(self, time_of_day_s: float, monotonic_s: float) -> None:
         """Takes both clocks as they are at the same moment.
 
         Args:
             time_of_day_s: Seconds since 1970.
-            steady_s: Seconds of the steady clock.
+            monotonic_s: Seconds of the steady clock.
         """
-        self._ahead_s.append(time_of_day_s - steady_s)
-        self._median_s = statistics.median_low(self._ahead_s)
+        self._offsets_s.append(time_of_day_s - monotonic_s)
+        self._median_offset_s = statistics.median_low(self._offsets_s)
 
-    def time_at(self, steady_s: float) -> float:
+    def time_at(self, monotonic_s: float) -> float:
         """Returns the seconds since 1970 at a moment of the steady clock."""
-        return steady_s + self._median_s
+        return monotonic_s + self._median_offset_s
--- a/packages/bulrushgrade/tests/test_authority.py
+++ b/packages/bulrushgrade/tests/test_authority.py
@@ -94,7 +94,7 @@
         )
 
     @property
-    def awake(self):
+    def unpaused(self):
         return [h for h in self.holders if h not in self.paused]
 
     @property
@@ -103,7 +103,7 @@
 
     def step_all(self, step_s, *, but=()):
         self.now += step_s
-        for holder in self.awake:
+        for holder in self.unpaused:
             if holder not in but:
                 holder.step(self.now)
                 holder.write(self.now)
@@ -112,11 +112,11 @@
     @stateful.rule(
         step_s=st.sampled_from([0.1, 0.5, 1.0, 2.0, 5.0, 6.1, 9.0, 31.0])
     )
-    def time_passes(self, step_s):
+    def advance_time(self, step_s):
         self.now += step_s
 
     @stateful.rule(turns=st.integers(1, 20))
-    def all_goes_well(self, turns):
+    def run_without_faults(self, turns):
         for _ in range(turns):
             self.step_all(0.5)
 
@@ -124,7 +124,7 @@
     def holder_is_cut_off(self, still_reads=False):
         self.now += LEASE_TIMES.renew_every_s
         cut_off = [
-            holder for holder in self.current_holders if holder in self.awake
+            holder for holder in self.current_holders if holder in self.unpaused
         ]
         for holder in cut_off:
             holder.step(self.now, limit=0)
@@ -141,7 +141,7 @@
         limit=st.sampled_from([0, 1, 2, 500]),
     )
     def step_one(self, which, delivery, lag_s, limit):
-        if self.holders[which] in self.awake:
+        if self.holders[which] in self.unpaused:
             self.holders[which].step(
                 self.now, delivery=delivery, lag_s=lag_s, limit=limit
             )
@@ -168,7 +168,7 @@
     @stateful.rule(which=WHICH, rate=RATES, delivery=DELIVERIES)
     def stop_and_replace(self, which, rate, delivery):
         holder = self.holders[which]
-        if holder in self.awake:
+        if holder in self.unpaused:
             release = holder.lease.retire(holder.clock(self.now))
             if release is not None:
                 holder.append(release, delivery, self.now)
@@ -205,7 +205,7 @@
         if hasattr(self, "log"):
             for which in range(3):
                 self.wake(which)
-            self.all_goes_well(60)
+            self.run_without_faults(60)
             assert len(self.current_holders) == 1, "no holder"
 
 
@@ -221,45 +221,45 @@
     def start(self, rates):
         self.trimmed_ids = set()
         super().start(rates)
-        self.all_goes_well(30)
+        self.run_without_faults(30)
 
     @stateful.rule(
         name=NAMES,
         role=st.sampled_from(ROLES),
         delivery=DELIVERIES,
-        luck=st.sampled_from(["well", "answer lost", "pause", "pause"]),
+        write_fault=st.sampled_from(["well", "answer lost", "pause", "pause"]),
     )
-    def holder_orders(self, name, role, delivery, luck):
+    def holder_orders(self, name, role, delivery, write_fault):
         for holder in self.current_holders:
-            if holder not in self.awake:
+            if holder not in self.unpaused:
                 continue
             holder.propose(name, role, self.now, delivery=delivery)
-            if luck != "pause":
-                holder.write(self.now, lose_answer=luck == "answer lost")
+            if write_fault != "pause":
+                holder.write(self.now, lose_answer=write_fault == "answer lost")
             elif holder.begin_write(self.now):
                 self.paused.add(holder)
 
     @stateful.rule(which=WHICH)
     def write_without_reading(self, which):
-        if self.holders[which] in self.awake:
+        if self.holders[which] in self.unpaused:
             self.holders[which].write(self.now)
 
     @stateful.rule(
         name=NAMES,
         roles=st.permutations(ROLES),
-        luck=st.sampled_from(["answer lost", "pause"]),
+        write_fault=st.sampled_from(["answer lost", "pause"]),
         turns=st.sampled_from([1, 4, 40]),
         wakes=st.booleans(),
     )
-    def holder_changes_in_a_write(self, name, roles, luck, turns, wakes):
+    def holder_changes_in_a_write(self, name, roles, write_fault, turns, wakes):
         old = [
             which
             for which in range(3)
             if self.holders[which].holds_lease(self.now)
         ]
-        self.holder_orders(name, roles[0], STORED, luck)
+        self.holder_orders(name, roles[0], STORED, write_fault)
         self.holder_is_cut_off()
-        self.all_goes_well(turns)
+        self.run_without_faults(turns)
         self.holder_orders(name, roles[1], STORED, "well")
         for which in old if wakes else ():
             self.wake(which)
--- a/packages/bulrushgrade/tests/test_kernel.py
+++ b/packages/bulrushgrade/tests/test_kernel.py
@@ -8,7 +8,7 @@
 from bulrushgrade import kernel
 
 
-class _Part:
+class _FakeService:
     def __init__(self, *, name, requires=(), log=None):
         self.name = name
         self.requires = requires
@@ -31,23 +31,23 @@
 
 def _kernel():
     turns, broken = [], []
-    made = kernel.Kernel(call_soon=turns.append, on_broken=broken.append)
-    return made, turns, broken
+    built = kernel.Kernel(call_soon=turns.append, on_broken=broken.append)
+    return built, turns, broken
 
 
 def test_start_follows_requirements_and_stop_reverses():
-    made, _, _ = _kernel()
+    built, _, _ = _kernel()
     log = []
-    made.register(_Part(name="relay", requires=("log",), log=log))
-    made.register(_Part(name="log", log=log))
-    asyncio.run(made.start())
-    asyncio.run(made.stop())
+    built.register(_FakeService(name="relay", requires=("log",), log=log))
+    built.register(_FakeService(name="log", log=log))
+    asyncio.run(built.start())
+    asyncio.run(built.stop())
     assert log == ["start log", "start relay", "stop relay", "stop log"]
 
 
 def test_cycle_and_missing_name_are_values():
-    a = _Part(name="a", requires=("b",))
-    b = _Part(name="b", requires=("a",))
+    a = _FakeService(name="a", requires=("b",))
+    b = _FakeService(name="b", requires=("a",))
     assert kernel.sort_services([a, b]) == Failure(
         errors.DependencyCycle(names=("a", "b"))
     )
@@ -55,22 +55,22 @@
 
 
 def test_messages_arrive_in_a_later_turn():
-    made, turns, _ = _kernel()
-    part = _Part(name="a")
-    made.register(part)
-    made.send("a", "hello")
+    built, turns, _ = _kernel()
+    part = _FakeService(name="a")
+    built.register(part)
+    built.send("a", "hello")
     assert part.log == []
     turns.pop()()
     assert part.log == ["hello"]
-    assert made.dump() == {"a": {"messages": 1}}
+    assert built.dump() == {"a": {"messages": 1}}
 
 
 def test_broken_invariant_stops_the_process_once():
-    made, turns, broken = _kernel()
-    made.register(_Part(name="a"))
-    made.send("a", "break")
-    made.send("a", "break")
+    built, turns, broken = _kernel()
+    built.register(_FakeService(name="a"))
+    built.send("a", "break")
+    built.send("a", "break")
     for turn in turns:
         turn()
     assert broken == ["a: ValueError: no such state"]
-    assert made.broken == broken[0]
+    assert built.broken == broken[0]
--- a/packages/bulrushgrade/tests/test_lease.py
+++ b/packages/bulrushgrade/tests/test_lease.py
@@ -38,7 +38,7 @@
     assert (b.lease.phase, b.lease.term) == ("holding", 1)
 
 
-def test_woken_holder_does_not_act():
+def test_resumed_holder_does_not_act():
     # Two daemons steer one group: A is stopped for several TTLs, B takes
     # over, A wakes and still believes it holds the lease.
     log, a, b = _candidates()
@@ -65,7 +65,7 @@
     assert not a.lease.holds_lease(5.5)
 
 
-def test_lapsed_holder_goes_on_with_its_term_when_the_log_is_back():
+def test_lapsed_holder_renews_its_term_when_the_log_is_back():
     log, a, _ = _candidates()
     a.step(0.0)
     assert not a.lease.holds_lease(20.0)
@@ -74,7 +74,7 @@
     assert a.lease.term == 0
 
 
-def test_release_spares_the_wait():
+def test_release_lets_a_candidate_claim_at_once():
     log, a, b = _candidates()
     b.lease.set_rank(1)
     a.step(0.0)
@@ -95,7 +95,7 @@
     assert a.lease.fold.term is None
 
 
-def test_quiet_trimmed_group_is_claimed_again():
+def test_group_whose_records_were_all_trimmed_is_claimed_again():
     # All hosts are replaced after a night without the log; every lease record
     # is trimmed. Without a way to claim, nobody would ever hold the group.
     log, old, a = _candidates()
@@ -109,7 +109,7 @@
     assert (a.lease.phase, a.lease.term) == ("holding", 1)
 
 
-def test_blind_candidate_waits_from_the_last_renewal_it_can_not_judge():
+def test_candidate_past_a_gap_waits_from_the_last_undecided_renewal():
     # A's claim is trimmed under B, which joins late and can't judge A's next
     # renewal. A is cut off from the log right after it, and still acts.
     log, a, b = _candidates()
@@ -126,7 +126,7 @@
     assert b.lease.holds_lease(10.5)
 
 
-def test_reader_that_fell_into_a_gap_waits_the_whole_lease():
+def test_reader_that_missed_trimmed_records_waits_the_whole_lease():
     # B is stopped while A claims and renews, and all of it is trimmed before
     # B reads again. For B the stream has been quiet all along.
     log, a, b = _candidates()
--- a/packages/bulrushgrade/tests/test_leaselog.py
+++ b/packages/bulrushgrade/tests/test_leaselog.py
@@ -64,7 +64,7 @@
     assert _fold([_claim(-1), _claim(99, "b")]).term == 0
 
 
-def test_fresh_reader_does_not_believe_a_lone_renewal():
+def test_fresh_reader_does_not_accept_a_lone_renewal():
     # A host joins while the log has just trimmed B's claim, and the first
     # thing it reads is the late renewal of A, which B had superseded.
     late = _renew(0, 0)
@@ -72,18 +72,18 @@
     assert not _fold([late, late], start=9).is_term_known
 
 
-def test_fresh_reader_believes_what_a_later_renewal_testifies_to():
+def test_fresh_reader_accepts_what_a_later_renewal_confirms():
     fold = _fold([_renew(3, 8, "b"), _renew(3, 9, "b")], start=9)
     assert (fold.term, fold.holder, fold.last_offset) == (3, "b", 10)
 
 
-def test_fresh_reader_judges_what_came_after_the_testimony():
+def test_fresh_reader_evaluates_records_after_the_confirmed_one():
     lost = _claim(8, "c")
     fold = _fold([_renew(3, 8), lost, _claim(9, "b"), _renew(3, 9)], start=9)
     assert (fold.term, fold.holder) == (11, "b")
 
 
-def test_fresh_reader_believes_a_claim_that_reaches_the_gap():
+def test_fresh_reader_accepts_a_claim_that_reaches_the_gap():
     assert _fold([_claim(8)], start=9).term == 9
     assert not _fold([_claim(7)], start=9).is_term_known
     assert not _fold([_renew(3, 5), _claim(8)], start=9).is_term_known
--- a/packages/bulrushgrade/tests/test_once_faults.py
+++ b/packages/bulrushgrade/tests/test_once_faults.py
@@ -42,7 +42,7 @@
     state: str = "claimed"
 
 
-class World(fakelog.FaultyLog):
+class SimulatedLog(fakelog.FaultyLog):
     """True time, the log, and what the endpoint ran."""
 
     def __init__(self):
@@ -85,11 +85,11 @@
 
     serial = itertools.count()
 
-    def __init__(self, *, world, rate):
+    def __init__(self, *, log, rate):
         name = f"d{next(self.serial)}"
         ids = itertools.count()
-        self.world, self.rate = world, rate
-        self.origin = rate * world.now
+        self.log, self.rate = log, rate
+        self.origin = rate * log.now
         self.paused = False
         self.requests = []
         self.once = once.OnceShard(
@@ -101,23 +101,23 @@
 
     @property
     def clock(self):
-        return self.rate * self.world.now - self.origin
+        return self.rate * self.log.now - self.origin
 
     def read(self, limit=500):
-        page = self.world.read("once.0", self.once.next_offset, limit=limit)
+        page = self.log.read("once.0", self.once.next_offset, limit=limit)
         self.once.apply_page(page, self.clock)
 
     def accept(self, key, delivery):
         """A caller sends, or repeats, the request with a key."""
-        made = self.once.claim(key=key, digest=key, now=self.clock)
-        if isinstance(made, Success):
-            append = made.unwrap()
+        claimed = self.once.claim(key=key, digest=key, now=self.clock)
+        if isinstance(claimed, Success):
+            append = claimed.unwrap()
             self.requests.append(Request(key=key, claim_id=append.record_id))
-            if self.world.deliver(append, delivery, self.world.now):
+            if self.log.deliver(append, delivery, self.log.now):
                 self.once.append_failed(append.record_id)
-        return made
+        return claimed
 
-    def serve(self, delivery, luck):
+    def serve(self, delivery, write_fault):
         """Moves each request on by one step."""
         for request in list(self.requests):
             decision = self.once.decide(
@@ -129,28 +129,28 @@
             if isinstance(decision, oncedecision.Run):
                 if self.once.start(request.claim_id, self.clock):
                     request.state = "started"
-                if luck == "pause":
+                if write_fault == "pause":
                     self.paused = True
                     return
-                self.write(request, delivery, luck)
+                self.write(request, delivery, write_fault)
             elif isinstance(decision, oncedecision.Late):
                 append = self.once.abandon(request.claim_id, self.clock)
-                self.world.deliver(append, delivery, self.world.now)
+                self.log.deliver(append, delivery, self.log.now)
                 self.requests.remove(request)
             elif not isinstance(decision, oncedecision.Pending):
                 self.requests.remove(request)
 
-    def write(self, request, delivery, luck):
+    def write(self, request, delivery, write_fault):
         self.requests.remove(request)
-        if luck == "refused":
+        if write_fault == "refused":
             append = self.once.abandon(request.claim_id, self.clock)
         else:
-            answer = self.world.run(request.key)
+            answer = self.log.run(request.key)
             append = self.once.finish(
                 request.claim_id, answer=answer, known=True, now=self.clock
             )
         if append is not None:
-            self.world.deliver(append, delivery, self.world.now)
+            self.log.deliver(append, delivery, self.log.now)
 
     def wake(self, *, in_time):
         self.paused = False
@@ -164,8 +164,8 @@
 
     @stateful.initialize(rates=st.tuples(RATES, RATES, RATES))
     def start(self, rates):
-        self.world = World()
-        self.daemons = [Daemon(world=self.world, rate=rate) for rate in rates]
+        self.log = SimulatedLog()
+        self.daemons = [Daemon(log=self.log, rate=rate) for rate in rates]
         self.paused_at = {}
         self.read_everywhere()
         self.serial = 1
@@ -181,10 +181,10 @@
         step_s=st.sampled_from([0.1, 1.0, 3.0, 4.1, 21.0, 33.0, 64.0, 64.0]),
         all_read=st.booleans(),
     )
-    def time_passes(self, step_s, all_read):
+    def advance_time(self, step_s, all_read):
         if all_read:
             self.read_everywhere()
-        self.world.now += step_s
+        self.log.now += step_s
 
     @stateful.rule(which=DAEMONS, back=BACK, delivery=DELIVERIES)
     def accept(self, which, back, delivery):
@@ -210,64 +210,64 @@
         order=st.permutations(range(3)),
         limits=st.tuples(*[LIMITS_OF_READS] * 3),
         delivery=DELIVERIES,
-        luck=st.sampled_from(["well", "well", "refused", "pause"]),
+        write_fault=st.sampled_from(["well", "well", "refused", "pause"]),
     )
-    def serve_everywhere(self, order, limits, delivery, luck):
+    def serve_everywhere(self, order, limits, delivery, write_fault):
         for which in order:
-            self.serve(which, delivery, luck, limits[which])
+            self.serve(which, delivery, write_fault, limits[which])
 
-    def serve(self, which, delivery, luck, limit):
+    def serve(self, which, delivery, write_fault, limit):
         daemon = self.daemons[which]
         if daemon.paused:
             return
         daemon.read(limit)
-        daemon.serve(delivery, luck)
+        daemon.serve(delivery, write_fault)
         for append in daemon.once.due(daemon.clock):
-            self.world.deliver(append, delivery, self.world.now)
+            self.log.deliver(append, delivery, self.log.now)
         if daemon.paused:
-            self.paused_at[which] = self.world.now
+            self.paused_at[which] = self.log.now
 
     @stateful.rule(which=DAEMONS, back=BACK)
     def request_without_a_fault(self, which, back):
         key, daemon = self.key(back), self.daemons[which]
         if not daemon.paused:
             daemon.read()
-            made = daemon.accept(key, STORED)
-            if isinstance(made, Failure):
-                self.check_answer(key, made.failure())
+            claimed = daemon.accept(key, STORED)
+            if isinstance(claimed, Failure):
+                self.check_answer(key, claimed.failure())
             daemon.read()
             daemon.serve(STORED, "well")
 
     def check_answer(self, key, decision):
         if isinstance(decision, oncedecision.Duplicate):
-            assert decision.answer == self.world.done[key], "another answer"
+            assert decision.answer == self.log.done[key], "another answer"
 
     @stateful.rule(which=DAEMONS)
     def pause(self, which):
         if not self.daemons[which].paused:
             self.daemons[which].paused = True
-            self.paused_at[which] = self.world.now
+            self.paused_at[which] = self.log.now
 
     @stateful.rule()
     def wake_everywhere(self):
         # The endpoint closes a connection on which nothing came for 10 s.
         for which, daemon in enumerate(self.daemons):
-            paused_s = self.world.now - self.paused_at.get(which, -1e9)
+            paused_s = self.log.now - self.paused_at.get(which, -1e9)
             daemon.wake(in_time=paused_s < 10.0)
 
     @stateful.rule(which=DAEMONS, rate=RATES)
     def kill_and_replace(self, which, rate):
-        self.daemons[which] = Daemon(world=self.world, rate=rate)
+        self.daemons[which] = Daemon(log=self.log, rate=rate)
         self.read(which, 500)
 
-    @stateful.precondition(lambda self: self.world.in_flight)
+    @stateful.precondition(lambda self: self.log.in_flight)
     @stateful.rule()
     def delayed_append_is_stored(self):
-        self.world.store_delayed()
+        self.log.store_delayed()
 
     @stateful.rule()
     def trim(self):
-        self.world.trim_older("once.0", self.world.now - LIMITS.retention_s)
+        self.log.trim_older("once.0", self.log.now - LIMITS.retention_s)
 
 
 TestOnceMachine = OnceMachine.TestCase
--- a/packages/bulrushgrade/tests/test_order.py
+++ b/packages/bulrushgrade/tests/test_order.py
@@ -35,12 +35,12 @@
     return Failure(errors.OrderRefused(reason=reason))
 
 
-def _settle(holder, end, *, start=0):
+def _step_until(holder, end, *, start=0):
     for now in range(start, end + 1, 2):
         holder.step(float(now))
 
 
-def test_no_byte_goes_out_before_the_intent_is_read_back():
+def test_order_is_not_written_before_its_intent_is_read_back():
     a, _, _, log = _group()
     intent = a.order_tracker.propose("e", PREFILL, 0.0).unwrap()
     assert a.order_tracker.sendable(0.0) == ()
@@ -50,7 +50,7 @@
     assert (found.wanted, found.number) == (PREFILL, 1)
 
 
-def test_one_order_at_a_time_until_its_engine_is_seen_through():
+def test_one_order_at_a_time_until_its_engine_reports_completion():
     a, _, _, _ = _group()
     assert a.propose("e", PREFILL, 0.0)
     a.write(0.0)
@@ -96,7 +96,7 @@
     assert not a.order_tracker.sendable(7.6)
 
 
-def test_adopted_order_is_sent_though_the_engine_is_through_with_it():
+def test_adopted_order_is_sent_to_an_engine_that_completed_it():
     # A's order was carried out, A died before its outcome. Until the engine
     # has taken B's number, it would take more of what A had under way.
     a, b, engine, _ = _group()
@@ -119,7 +119,7 @@
     assert not a.order_tracker.may_send(found, LEASE_S)
 
 
-def test_new_holder_waits_where_numbers_are_ignored():
+def test_new_holder_waits_before_ordering_an_unfenced_engine():
     a, _, _, _ = _group(fencing=False)
     waits = _refused("last holder may write")
     for now in range(0, 30, 2):
@@ -130,28 +130,28 @@
     assert a.write(30.0)
 
 
-def test_lost_write_delays_the_outcome_where_numbers_are_ignored():
+def test_lost_write_delays_the_outcome_of_an_unfenced_engine():
     a, _, _, _ = _group(fencing=False)
-    _settle(a, 30)
+    _step_until(a, 30)
     a.propose("e", PREFILL, 30.0)
     a.write(30.0, lose_answer=True)
-    _settle(a, 58, start=32)
+    _step_until(a, 58, start=32)
     assert not a.order_tracker.placeable("e")
     a.step(60.0)
     assert a.order_tracker.placeable("e")
 
 
-def test_intent_under_way_is_repeated_then_refreshed():
+def test_pending_intent_is_repeated_then_refreshed():
     a, _, _, log = _group()
     intent = a.order_tracker.propose("e", PREFILL, 0.0).unwrap()
     assert a.order_tracker.due(0.4) == ()
     assert a.order_tracker.due(0.5) == (intent,)
     log.append(intent)
-    _settle(a, 604)
+    _step_until(a, 604)
     assert a.order_tracker.fold.unfinished["e"].number > 300
 
 
-def test_engine_must_be_seen_before_an_order():
+def test_engine_must_report_before_an_order():
     a, b, engine, _ = _group()
     assert b.order_tracker.propose("e", PREFILL, 0.0) == _refused(
         "not the holder"
@@ -163,11 +163,11 @@
     )
 
 
-def test_size_of_what_a_pause_can_do_where_numbers_are_ignored():
+def test_pause_allowance_protects_an_unfenced_engine():
     # A passes its check in the last moment of its lease and is stopped before
     # the write. The write does harm only behind B's first other order.
     a, b, _, _ = _group(fencing=False, change_s=0.0)
-    _settle(a, 30)
+    _step_until(a, 30)
     a.propose("e", PREFILL, 30.0)
     b.step(30.0)
     (late,) = a.order_tracker.sendable(30.0)
--- a/packages/bulrushgrade/tests/test_orderlog.py
+++ b/packages/bulrushgrade/tests/test_orderlog.py
@@ -51,7 +51,7 @@
     assert _fold(late).unfinished["e"].order_id == "o2"
 
 
-def test_fresh_reader_takes_the_latest_intent_until_the_engine_is_clear():
+def test_fresh_reader_takes_the_latest_intent_until_history_is_complete():
     copy, again = _intent("o1", 3), _intent("o2", 7, DECODE)
     fold = _fold([copy, again], start=9)
     assert fold.unfinished["e"].order_id == "o2"
--- a/packages/bulrushgrade/tests/test_orderturn.py
+++ b/packages/bulrushgrade/tests/test_orderturn.py
@@ -14,18 +14,18 @@
     return orderturn.OrderTurn(holder=holder, lease_s=LEASE_S)
 
 
-def test_empty_topic_is_anyones():
+def test_any_host_may_append_to_an_empty_topic():
     assert make().may_append(0.0)
 
 
-def test_own_records_do_not_hold_up():
+def test_own_records_do_not_delay_an_append():
     turn = make()
     turn.apply("a", 0, now=1.0)
     assert turn.may_append(1.0)
     assert turn.end == 1
 
 
-def test_another_hosts_record_holds_up_from_when_it_is_seen():
+def test_another_hosts_record_delays_an_append_from_when_it_is_read():
     """A host starts and finds an order of unknown age in the topic.
 
     Counted from its writing, by clocks that can't be compared, the two hosts'
