--- a/packages/bulrushgrade/bulrushgrade/aggregatorchoice.py
+++ b/packages/bulrushgrade/bulrushgrade/aggregatorchoice.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 import math
 
-LEAST_SILENT_S = 0.8
+MIN_SILENCE_S = 0.8
 """After which a host turns to the next one at least. Sooner than a peer
 counts as gone, as two may add up for a while without harm."""
 
@@ -36,16 +36,16 @@
         """The host that adds up for this one, None where it does itself."""
         return self._chosen
 
-    def hear(self, host: str, now: float) -> bool:
+    def observe_sum(self, host: str, now: float) -> bool:
         """Notes a sum; returns whether it is from who adds up."""
         if host != self._chosen:
             return False
         self._heard_at = now
         return True
 
-    def give_up_silent(self, now: float, silent_s: float) -> str | None:
+    def drop_silent(self, now: float, silent_s: float) -> str | None:
         """Returns who was silent for too long; another one is chosen next."""
-        silent_s = max(LEAST_SILENT_S, silent_s)
+        silent_s = max(MIN_SILENCE_S, silent_s)
         if self._chosen is None or now - self._heard_at < silent_s:
             return None
         self._avoided = {h: t for h, t in self._avoided.items() if t > now}
--- a/packages/bulrushgrade/bulrushgrade/balance.py
+++ b/packages/bulrushgrade/bulrushgrade/balance.py
@@ -26,7 +26,7 @@
 EJECT_MAX_S = 8.0
 """The longest ejection. An endpoint that came back is found out by then."""
 
-SLOW_TIMES = 3.0
+SLOW_FACTOR = 3.0
 """An endpoint that takes this many times as long as the best of its service
 is used only where the others are loaded as many times as much."""
 
@@ -130,12 +130,12 @@
         in another. Those in `avoid` failed this very request and are left out
         always.
         """
-        fresh = [r for r in usable if r.incarnation not in avoid]
-        sound = [
-            r for r in fresh if self.load(r.incarnation).ejected_until <= now
+        untried = [r for r in usable if r.incarnation not in avoid]
+        healthy = [
+            r for r in untried if self.load(r.incarnation).ejected_until <= now
         ]
-        elsewhere = [r for r in sound if r.zone not in avoid_zones]
-        return elsewhere or sound or fresh
+        elsewhere = [r for r in healthy if r.zone not in avoid_zones]
+        return elsewhere or healthy or untried
 
     def pick(
         self,
@@ -162,10 +162,10 @@
         return min(candidates, key=lambda r: self._cost(r, best_s))
 
     def _cost(
-        self, found: directory.Registration, best_s: float
+        self, endpoint: directory.Registration, best_s: float
     ) -> tuple[float, bool, float]:
-        load = self.load(found.incarnation)
-        filled = (load.open + 1) / max(found.slots, 1)
-        if best_s > 0 and load.latency_s > SLOW_TIMES * best_s:
-            filled *= load.latency_s / best_s
-        return (filled, found.zone != self._zone, self._rng.random())
+        load = self.load(endpoint.incarnation)
+        utilization = (load.open + 1) / max(endpoint.slots, 1)
+        if best_s > 0 and load.latency_s > SLOW_FACTOR * best_s:
+            utilization *= load.latency_s / best_s
+        return (utilization, endpoint.zone != self._zone, self._rng.random())
--- a/packages/bulrushgrade/bulrushgrade/directory.py
+++ b/packages/bulrushgrade/bulrushgrade/directory.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-LEAVING_PART = 0.5
+LEAVING_USE_FRACTION = 0.5
 """Of the time until an endpoint says that it is gone, for which it may still
 get requests: those have to end too."""
 
@@ -82,13 +82,13 @@
 
     Attributes:
         id: The endpoint's id.
-        was: What was known before, or None.
-        now: What is known now, or None where it is gone.
+        previous: What was known before, or None.
+        current: What is known now, or None where it is gone.
     """
 
     id: str
-    was: Registration | None
-    now: Registration | None
+    previous: Registration | None
+    current: Registration | None
 
 
 @attrs.define(kw_only=True)
@@ -160,25 +160,31 @@
             entry = _Entry(known=found)
             self._entries[found.id] = entry
             self._note_state(entry, now)
-            return Change(id=found.id, was=None, now=found)
+            return Change(id=found.id, previous=None, current=found)
         if found.order < entry.known.order:
             return None
-        was = None if entry.gone else entry.known
-        reborn = found.incarnation != entry.known.incarnation
-        if entry.gone and not reborn and found.order == entry.known.order:
+        previous = None if entry.gone else entry.known
+        is_new_incarnation = found.incarnation != entry.known.incarnation
+        if (
+            entry.gone
+            and not is_new_incarnation
+            and found.order == entry.known.order
+        ):
             return None
         entry.known = found
         entry.gone = False
-        if reborn or found.state is EndpointState.READY:
+        if is_new_incarnation or found.state is EndpointState.READY:
             entry.leaving_since = None
         self._note_state(entry, now)
         if (
-            was is not None
-            and attrs.evolve(was, sequence=found.sequence, cold_s=found.cold_s)
+            previous is not None
+            and attrs.evolve(
+                previous, sequence=found.sequence, cold_s=found.cold_s
+            )
             == found
         ):
             return None
-        return Change(id=found.id, was=was, now=found)
+        return Change(id=found.id, previous=previous, current=found)
 
     def remove(
         self, id: str, *, now: float, trusted_until: float = 0.0
@@ -200,7 +206,7 @@
         if entry.leaving_since is None:
             entry.leaving_since = now
             entry.trusted_until = trusted_until
-        return Change(id=id, was=entry.known, now=None)
+        return Change(id=id, previous=entry.known, current=None)
 
     def replace(
         self,
@@ -253,7 +259,7 @@
         leaves_s = entry.known.leaves_s
         if leaves_s is None:
             return self._leaving_use_s
-        return min(self._leaving_use_s, LEAVING_PART * leaves_s)
+        return min(self._leaving_use_s, LEAVING_USE_FRACTION * leaves_s)
 
     def _note_state(self, entry: _Entry, now: float) -> None:
         draining = entry.known.state is EndpointState.DRAINING
--- a/packages/bulrushgrade/bulrushgrade/engineadmission.py
+++ b/packages/bulrushgrade/bulrushgrade/engineadmission.py
@@ -10,17 +10,17 @@
 from bulrushgrade import placementplan
 from bulrushgrade import routing
 
-FIRST_EVENT_SHARE = 0.6
+FIRST_EVENT_FRACTION = 0.6
 """Of the time that is left, in which the first event has to come: the other
 events need the rest. A stream that is cut at its deadline has cost as much as
 one that was served."""
 
-WAIT_SHARE = 0.4
+WAIT_FRACTION = 0.4
 """Of the caller's patience that a prompt may wait for others. The rest is for
 reading the prompt itself, up to the largest: with longer queues only small
 prompts would still begin in time, and the large ones never."""
 
-LEAST_SIZE, GREATEST_SIZE = 0.8, 1.5
+MIN_RELATIVE_SIZE, MAX_RELATIVE_SIZE = 0.8, 1.5
 """Bounds of a prompt's size, against the mean, by which its wait is scaled.
 Prompts of all sizes arrive at the same queue, but a large one that is refused
 and comes back has used up more of the time that it needs; with one limit for
@@ -37,11 +37,11 @@
         left_s: Until the request's deadline.
         patience_s: How much longer its caller waits for the first event.
     """
-    first_s = plan.first_s + plan.delay_s
-    late_s = first_s - min(left_s * FIRST_EVENT_SHARE, patience_s)
-    size = min(max(plan.relative_size, LEAST_SIZE), GREATEST_SIZE)
+    first_event_s = plan.first_event_s + plan.delay_s
+    late_s = first_event_s - min(left_s * FIRST_EVENT_FRACTION, patience_s)
+    size = min(max(plan.relative_size, MIN_RELATIVE_SIZE), MAX_RELATIVE_SIZE)
     wait_s = plan.wait_s + plan.delay_s
-    return max(late_s, wait_s - patience_s * WAIT_SHARE * size)
+    return max(late_s, wait_s - patience_s * WAIT_FRACTION * size)
 
 
 def choose_urgency(
@@ -70,6 +70,6 @@
     """
     if route.urgency < least_urgency:
         return route.urgency
-    if waited_s + plan.first_s <= route.target_s:
+    if waited_s + plan.first_event_s <= route.target_s:
         return route.urgency
     return routing.LEAST_URGENT
--- a/packages/bulrushgrade/bulrushgrade/enginecache.py
+++ b/packages/bulrushgrade/bulrushgrade/enginecache.py
@@ -7,11 +7,11 @@
 
 from bulrushgrade import prompt as prompt_module
 
-COMING_S = 3.0
+PENDING_S = 3.0
 """How long a part that was sent to an engine is expected there. A prompt that
 has not been read by then has met a queue that nobody should join."""
 
-CACHE_SHARE = 0.8
+CACHE_FRACTION = 0.8
 """Of an engine's memory that cached parts can be counted on to have; running
 requests take the rest."""
 
@@ -38,13 +38,13 @@
         Args:
             memory_tokens: Tokens that fit its memory.
         """
-        self._limit_tokens = memory_tokens * CACHE_SHARE
+        self._max_tokens = memory_tokens * CACHE_FRACTION
         self._kept: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
         self._kept_tokens = 0
         # Until when parts are expected that are being read.
-        self._coming: dict[str, float] = {}
+        self._pending_until: dict[str, float] = {}
 
     def expected_tokens(self, prompt: prompt_module.Prompt, now: float) -> int:
         """Returns how many leading tokens it should not have to read.
@@ -54,7 +54,7 @@
         """
         found = 0
         for part in prompt.shared_parts:
-            if self._coming.get(part.id, now) > now:
+            if self._pending_until.get(part.id, now) > now:
                 found += part.tokens
                 continue
             kept = min(self._kept.get(part.id, 0), part.tokens)
@@ -73,16 +73,16 @@
                 break
         return found
 
-    def apply(self, changes: Iterable[CacheChange], *, anew: bool) -> None:
+    def apply(self, changes: Iterable[CacheChange], *, reset: bool) -> None:
         """Takes what the engine says of its cache.
 
         Args:
             changes: In their order.
-            anew: Whether what is believed so far is void, after a restart or
+            reset: Whether what is believed so far is void, after a restart or
                 a gap.
         """
-        if anew:
-            self._coming.clear()
+        if reset:
+            self._pending_until.clear()
             self._kept.clear()
             self._kept_tokens = 0
         for change in changes:
@@ -93,23 +93,23 @@
     ) -> None:
         """Notes parts that are being read there."""
         for part in parts:
-            self._coming[part.id] = now + COMING_S
+            self._pending_until[part.id] = now + PENDING_S
 
-    def give_up(self, parts: Iterable[prompt_module.PromptPart]) -> None:
+    def cancel(self, parts: Iterable[prompt_module.PromptPart]) -> None:
         """Notes parts that are not going to be read there."""
         for part in parts:
-            self._coming.pop(part.id, None)
+            self._pending_until.pop(part.id, None)
 
     def keep(self, parts: Iterable[prompt_module.PromptPart]) -> None:
         """Notes parts that have been read there."""
         for part in parts:
-            self._coming.pop(part.id, None)
+            self._pending_until.pop(part.id, None)
             self._keep(part.id, part.tokens)
 
     def _keep(self, part: str, tokens: int) -> None:
         self._kept_tokens += tokens - self._kept.pop(part, 0)
         if tokens > 0:
             self._kept[part] = tokens
-        while self._kept_tokens > self._limit_tokens and self._kept:
+        while self._kept_tokens > self._max_tokens and self._kept:
             _, dropped = self._kept.popitem(last=False)
             self._kept_tokens -= dropped
--- a/packages/bulrushgrade/bulrushgrade/enginefleet.py
+++ b/packages/bulrushgrade/bulrushgrade/enginefleet.py
@@ -12,38 +12,38 @@
 from bulrushgrade import peerloads
 from bulrushgrade import placementplan
 from bulrushgrade import plancost
-from bulrushgrade import readdelay
-from bulrushgrade import readtimes
+from bulrushgrade import prefilldelay
+from bulrushgrade import prefilltimes
 from bulrushgrade import routing
 from bulrushgrade import stageplan
 
-SIZE_WEIGHT = 0.05
+SAMPLE_WEIGHT = 0.05
 """Of each prompt in the running mean of sizes, and of each stream in that of
 its events: some twenty."""
 
-START_EVENTS = 10.0
+INITIAL_EVENTS = 10.0
 """Events of a stream, until streams tell."""
 
 
 class EngineFleet:
     """The engines of one service."""
 
-    def __init__(self, *, others: peerloads.PeerLoads | None = None):
+    def __init__(self, *, peers: peerloads.PeerLoads | None = None):
         """Makes a fleet of which nothing is known.
 
         Args:
-            others: What other daemons have at engines.
+            peers: What other daemons have at engines.
         """
-        self._others = others or peerloads.PeerLoads()
+        self._peers = peers or peerloads.PeerLoads()
         self._mean_tokens = 0.0
-        self._mean_events = START_EVENTS
-        self._delay = readdelay.ReadDelay()
-        self._times = readtimes.ReadTimes()
+        self._mean_events = INITIAL_EVENTS
+        self._delay = prefilldelay.PrefillDelay()
+        self._times = prefilltimes.PrefillTimes()
         self._pauses = pausemodel.PauseModel()
         self._loads: dict[tuple[str, int], engineload.EngineLoad] = {}
 
     @property
-    def times(self) -> readtimes.ReadTimes:
+    def times(self) -> prefilltimes.PrefillTimes:
         """How long readings take at an engine of usual speed."""
         return self._times
 
@@ -71,11 +71,11 @@
             if not load.is_idle
         }
 
-    def peers_stream_at(
+    def has_peer_streams(
         self, engine: directory.Registration, now: float
     ) -> bool:
         """Returns whether other daemons have streams running at an engine."""
-        return self._others.at(engine.id, now).streams > 0
+        return self._peers.at(engine.id, now).streams > 0
 
     def views(
         self,
@@ -88,22 +88,24 @@
         found = []
         for engine in engines:
             wait_s = self.wait_s(engine, traits, now, routing.LEAST_URGENT)
-            there = self.generation(engine, traits, now)
-            crowding = plancost.crowding(there, wait_s, limits.least_gap_s)
+            decode_load = self.estimate_decode_load(engine, traits, now)
+            crowding = plancost.crowding(
+                decode_load, wait_s, limits.least_gap_s
+            )
             view = stageplan.EngineView(
                 engine=engine, wait_s=wait_s, crowding=crowding
             )
             found.append(view)
         return tuple(found)
 
-    def generation(
+    def estimate_decode_load(
         self,
         engine: directory.Registration,
         traits: routing.EngineTraits,
         now: float,
         *,
         new_tokens: int = 0,
-    ) -> plancost.Generation:
+    ) -> plancost.DecodeLoad:
         """Returns what an engine is believed to generate.
 
         Args:
@@ -113,18 +115,18 @@
             new_tokens: Of a stream that may join.
         """
         load = self.load(engine, traits)
-        there = load.share(now) + self._others.at(engine.id, now)
+        total = load.share(now) + self._peers.at(engine.id, now)
         factor = load.pause_factor.value
-        after_tokens = there.tokens + new_tokens
-        return plancost.Generation(
-            streams=there.streams,
-            tokens=there.tokens,
-            pause_s=factor * self._pauses.expected_s(there.tokens),
-            least_pause_s=factor * self._pauses.expected_s(0),
-            pause_after_s=factor * self._pauses.expected_s(after_tokens),
+        after_tokens = total.tokens + new_tokens
+        return plancost.DecodeLoad(
+            streams=total.streams,
+            tokens=total.tokens,
+            pause_s=factor * self._pauses.expected_s(total.tokens),
+            min_pause_s=factor * self._pauses.expected_s(0),
+            joined_pause_s=factor * self._pauses.expected_s(after_tokens),
             memory_tokens=traits.memory_tokens,
             slots=traits.slots,
-            spread_s=self._pauses.spread_s,
+            stddev_s=self._pauses.stddev_s,
             events=self._mean_events,
         )
 
@@ -135,7 +137,7 @@
         now: float,
         urgency: int,
         *,
-        known_s: float | None = None,
+        reported_wait_s: float | None = None,
     ) -> float:
         """Returns how long a prompt would wait at an engine.
 
@@ -144,15 +146,14 @@
             traits: What all have in common.
             now: The present time in seconds.
             urgency: The prompt's; 0 is read first.
-            known_s: How long that is by the owners of its queue, or None.
+            reported_wait_s: The wait that the owners of its queue report, or
+                None.
         """
         load = self.load(engine, traits)
-        if known_s is not None:
-            return load.known_wait_s(now, known_s)
-        others = self._others.at(engine.id, now)
-        return load.wait_s(
-            now, urgency=urgency, others_s=others.wait_s(urgency)
-        )
+        if reported_wait_s is not None:
+            return load.wait_behind_s(now, reported_wait_s)
+        peers = self._peers.at(engine.id, now)
+        return load.wait_s(now, urgency=urgency, peers_s=peers.wait_s(urgency))
 
     def relative_size(self, tokens: int) -> float:
         """Returns a prompt's tokens against the mean of long ones."""
@@ -160,17 +161,17 @@
             return 1.0
         return tokens / self._mean_tokens
 
-    def note_size(self, tokens: int) -> None:
+    def observe_prompt(self, tokens: int) -> None:
         """Takes in a long prompt."""
         if self._mean_tokens == 0.0:
             self._mean_tokens = tokens
-        self._mean_tokens += SIZE_WEIGHT * (tokens - self._mean_tokens)
+        self._mean_tokens += SAMPLE_WEIGHT * (tokens - self._mean_tokens)
 
-    def note_stream(self, events: int) -> None:
+    def observe_stream(self, events: int) -> None:
         """Learns from a stream that has ended how many events they have."""
-        self._mean_events += SIZE_WEIGHT * (events - self._mean_events)
+        self._mean_events += SAMPLE_WEIGHT * (events - self._mean_events)
 
-    def note_read(
+    def observe_prefill(
         self, plan: placementplan.Plan, took_s: float, now: float
     ) -> None:
         """Learns how much longer readings take than they were expected to.
@@ -180,10 +181,10 @@
             took_s: How long that took, with its wait.
             now: The present time in seconds.
         """
-        due_s = plan.wait_s + plan.busy_s + plan.latency_s
-        self._delay.note(due_s, took_s, now)
+        expected_total_s = plan.wait_s + plan.busy_s + plan.latency_s
+        self._delay.observe(expected_total_s, took_s, now)
 
-    def note_pause(
+    def observe_pause(
         self,
         engine: directory.Registration,
         traits: routing.EngineTraits,
@@ -192,9 +193,9 @@
     ) -> None:
         """Learns from the pause before an event of this daemon's streams."""
         load = self.load(engine, traits)
-        others = self._others.at(engine.id, now)
-        tokens = load.streams.tokens + others.tokens
-        self._pauses.note(tokens, pause_s, load.pause_factor)
+        peers = self._peers.at(engine.id, now)
+        tokens = load.streams.tokens + peers.tokens
+        self._pauses.observe(tokens, pause_s, load.pause_factor)
 
     def forget(self, live: Iterable[tuple[str, int]]) -> None:
         """Drops what is believed of engines that are gone and idle."""
--- a/packages/bulrushgrade/bulrushgrade/enginequeue.py
+++ b/packages/bulrushgrade/bulrushgrade/enginequeue.py
@@ -8,9 +8,9 @@
 reports to all of them what it sends.
 """
 
-from bulrushgrade import readqueue
+from bulrushgrade import prefillqueue
 
-LIFE_S = 10.0
+ENTRY_TTL_S = 10.0
 """After which an entry without an end is dropped: its daemon is gone, or its
 message was lost. Longer than any caller waits for a first event."""
 
@@ -26,7 +26,7 @@
     """
 
     def __init__(self):
-        self._queues: dict[str, readqueue.ReadQueue] = {}
+        self._queues: dict[str, prefillqueue.PrefillQueue] = {}
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
@@ -35,7 +35,7 @@
         self,
         engine: str,
         key: Key,
-        entry: readqueue.Entry,
+        entry: prefillqueue.Entry,
     ) -> None:
         """Enters a prompt that a daemon sends.
 
@@ -44,7 +44,7 @@
             key: Names the prompt.
             entry: The prompt.
         """
-        queue = self._queues.setdefault(engine, readqueue.ReadQueue())
+        queue = self._queues.setdefault(engine, prefillqueue.PrefillQueue())
         queue.add(key, entry)
 
     def end(self, engine: str, key: Key, now: float) -> None:
@@ -61,6 +61,6 @@
     def forget(self, now: float) -> None:
         """Drops entries that nobody ended, and engines without any."""
         for engine, queue in list(self._queues.items()):
-            queue.drop_older(now, life_s=LIFE_S)
+            queue.remove_older(now, max_age_s=ENTRY_TTL_S)
             if not len(queue):
                 del self._queues[engine]
--- a/packages/bulrushgrade/bulrushgrade/linearfit.py
+++ b/packages/bulrushgrade/bulrushgrade/linearfit.py
@@ -5,7 +5,7 @@
 some seconds; each engine then needs a factor only.
 """
 
-LEAST_FACTOR, GREATEST_FACTOR = 0.3, 8.0
+MIN_FACTOR, MAX_FACTOR = 0.3, 8.0
 """Bounds of a factor. An engine that turned slow takes a few times as long;
 without a bound one odd observation could bar an engine for good."""
 
@@ -16,23 +16,23 @@
     def __init__(
         self,
         *,
-        kept: float,
-        least_spread: float,
+        retention: float,
+        min_stddev: float,
         start: float | None = None,
         start_weight: float = 1.0,
     ):
         """Makes a fit.
 
         Args:
-            kept: What is kept of the weight of earlier observations at each
-                new one.
-            least_spread: Standard deviation of x from which on the slope is
+            retention: What is kept of the weight of earlier observations at
+                each new one.
+            min_stddev: Standard deviation of x from which on the slope is
                 fitted; below it the line is level.
             start: Value to begin with, or None.
             start_weight: Its weight.
         """
-        self._kept = kept
-        self._least_spread = least_spread
+        self._retention = retention
+        self._min_stddev = min_stddev
         self._weight = 0.0
         self._x = self._y = self._xx = self._xy = 0.0
         if start is not None:
@@ -44,7 +44,7 @@
         """Whether there is a value."""
         return self._weight > 0.0
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Returns the value at x; 0 where nothing is known."""
         if not self.is_known:
             return 0.0
@@ -52,8 +52,13 @@
         mean_y = self._y / self._weight
         return max(0.0, mean_y + self._slope() * (x - mean_x))
 
-    def note(
-        self, x: float, y: float, *, weight: float = 1.0, counts: float = 1.0
+    def observe(
+        self,
+        x: float,
+        y: float,
+        *,
+        weight: float = 1.0,
+        sample_count: float = 1.0,
     ) -> None:
         """Takes in an observation.
 
@@ -61,19 +66,19 @@
             x: Where it was made.
             y: What was seen.
             weight: Its weight.
-            counts: As how many observations it replaces earlier ones.
+            sample_count: As how many observations it replaces earlier ones.
         """
-        kept = self._kept**counts
-        self._weight = kept * self._weight + weight
-        self._x = kept * self._x + weight * x
-        self._y = kept * self._y + weight * y
-        self._xx = kept * self._xx + weight * x * x
-        self._xy = kept * self._xy + weight * x * y
+        retention = self._retention**sample_count
+        self._weight = retention * self._weight + weight
+        self._x = retention * self._x + weight * x
+        self._y = retention * self._y + weight * y
+        self._xx = retention * self._xx + weight * x * x
+        self._xy = retention * self._xy + weight * x * y
 
     def _slope(self) -> float:
         mean_x = self._x / self._weight
         variance = self._xx / self._weight - mean_x**2
-        if variance < self._least_spread**2:
+        if variance < self._min_stddev**2:
             return 0.0
         mean_y = self._y / self._weight
         covariance = self._xy / self._weight - mean_x * mean_y
@@ -100,10 +105,10 @@
         """1 for an engine like the others."""
         return self._value
 
-    def note(self, expected: float, seen: float) -> None:
+    def observe(self, expected: float, observed: float) -> None:
         """Takes in an observation and what an engine like the others does."""
         if expected <= 0.0:
             return
-        ratio = min(max(seen / expected, LEAST_FACTOR), GREATEST_FACTOR)
+        ratio = min(max(observed / expected, MIN_FACTOR), MAX_FACTOR)
         weight = self._rise if ratio > self._value else self._fall
         self._value += weight * (ratio - self._value)
--- a/packages/bulrushgrade/bulrushgrade/pausemodel.py
+++ b/packages/bulrushgrade/bulrushgrade/pausemodel.py
@@ -11,22 +11,22 @@
 
 from bulrushgrade import linearfit
 
-KEPT = 0.999
+FIT_RETENTION = 0.999
 """What is kept of the weight of earlier pauses at each new one: the fit is that
 of the last thousand, some seconds of a busy daemon."""
 
-LEAST_SPREAD_TOKENS = 2_000.0
+MIN_STDDEV_TOKENS = 2_000.0
 """Standard deviation of the tokens from which on the growing part is fitted;
 below it the pauses differ by less than they scatter."""
 
-LONGEST_TIMES = 3.0
+MAX_PAUSE_FACTOR = 3.0
 """A pause counts as at most this many times the expected one. A longer one is
 a stream that was preempted, which says nothing of the length of a step."""
 
-LONGEST_START_S = 0.5
+MAX_INITIAL_PAUSE_S = 0.5
 """The same before anything is known."""
 
-SPREAD_WEIGHT = 0.01
+VARIANCE_WEIGHT = 0.01
 """Of a pause in the spread: some hundred pauses."""
 
 FACTOR_WEIGHT = 0.05
@@ -39,7 +39,7 @@
 
     def __init__(self):
         self._fit = linearfit.LinearFit(
-            kept=KEPT, least_spread=LEAST_SPREAD_TOKENS
+            retention=FIT_RETENTION, min_stddev=MIN_STDDEV_TOKENS
         )
         self._variance = 0.0
 
@@ -49,14 +49,14 @@
         Args:
             tokens: Of all streams in the engine's memory.
         """
-        return self._fit.at(tokens)
+        return self._fit.predict(tokens)
 
     @property
-    def spread_s(self) -> float:
+    def stddev_s(self) -> float:
         """Standard deviation of the pauses around what is expected."""
         return math.sqrt(self._variance)
 
-    def note(
+    def observe(
         self, tokens: float, pause_s: float, factor: linearfit.Factor
     ) -> None:
         """Takes in a pause.
@@ -66,14 +66,14 @@
             pause_s: The pause.
             factor: The engine's, which learns as well.
         """
-        expected_s = self._fit.at(tokens)
-        factor.note(expected_s, pause_s)
-        longest_s = LONGEST_TIMES * expected_s or LONGEST_START_S
+        expected_s = self._fit.predict(tokens)
+        factor.observe(expected_s, pause_s)
+        longest_s = MAX_PAUSE_FACTOR * expected_s or MAX_INITIAL_PAUSE_S
         usual_s = min(pause_s / factor.value, longest_s)
         if expected_s:
             square = (usual_s - expected_s) ** 2
-            self._variance += SPREAD_WEIGHT * (square - self._variance)
-        self._fit.note(tokens, usual_s)
+            self._variance += VARIANCE_WEIGHT * (square - self._variance)
+        self._fit.observe(tokens, usual_s)
 
 
 def new_factor() -> linearfit.Factor:
--- a/packages/bulrushgrade/bulrushgrade/peerloads.py
+++ b/packages/bulrushgrade/bulrushgrade/peerloads.py
@@ -14,11 +14,11 @@
 
 import attrs
 
-LEAST_STALE_S = 1.5
+MIN_STALE_S = 1.5
 """How long a message counts at least. Queues of seconds empty in about that
 time, and a daemon that died holds nothing any more."""
 
-MOST_OWN = 32
+MAX_OWN_MESSAGES = 32
 """Own messages that are remembered until the sum that has them comes back."""
 
 
@@ -46,9 +46,9 @@
 
     def __add__(self, other: "EngineShare") -> "EngineShare":
         """Returns both together."""
-        if other is NOTHING:
+        if other is EMPTY_SHARE:
             return self
-        if self is NOTHING:
+        if self is EMPTY_SHARE:
             return other
         queued_s = dict(self.queued_s)
         for level, seconds in other.queued_s.items():
@@ -72,13 +72,13 @@
         )
 
 
-NOTHING = EngineShare()
+EMPTY_SHARE = EngineShare()
 
 Shares = Mapping[str, EngineShare]
 """What somebody has, by the engines' ids; what is missing is nothing."""
 
 
-def add_up(parts: Iterable[Shares]) -> dict[str, EngineShare]:
+def sum_shares(parts: Iterable[Shares]) -> dict[str, EngineShare]:
     """Returns what several have together, by engine."""
     total: dict[str, EngineShare] = {}
     for shares in parts:
@@ -89,37 +89,39 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Advertised:
+class _Message:
     at: float
     number: int
     shares: Shares
 
 
-class _Latest:
+class _LatestMessages:
     """The newest message of each sender."""
 
     def __init__(self):
-        self._by_name: dict[str, _Advertised] = {}
+        self._by_name: dict[str, _Message] = {}
 
-    def take(self, name: str, number: int, shares: Shares, now: float) -> bool:
+    def update(
+        self, name: str, number: int, shares: Shares, now: float
+    ) -> bool:
         known = self._by_name.get(name)
         if known is not None and number <= known.number:
             return False
-        self._by_name[name] = _Advertised(at=now, number=number, shares=shares)
+        self._by_name[name] = _Message(at=now, number=number, shares=shares)
         return True
 
-    def fresh(self, now: float, stale_s: float) -> dict[str, _Advertised]:
+    def fresh(self, now: float, stale_s: float) -> dict[str, _Message]:
         return {
-            name: one
-            for name, one in self._by_name.items()
-            if now - one.at < stale_s
+            name: message
+            for name, message in self._by_name.items()
+            if now - message.at < stale_s
         }
 
     def at(self, engine: str, now: float, stale_s: float) -> EngineShare:
-        found = NOTHING
-        for one in self._by_name.values():
-            share = one.shares.get(engine)
-            if share is not None and now - one.at < stale_s:
+        found = EMPTY_SHARE
+        for message in self._by_name.values():
+            share = message.shares.get(engine)
+            if share is not None and now - message.at < stale_s:
                 found += share
         return found
 
@@ -138,16 +140,16 @@
     """
 
     def __init__(self):
-        self.stale_s = LEAST_STALE_S
-        self._members = _Latest()
-        self._groups = _Latest()
-        self._fleet: _Advertised | None = None
-        self._fleet_own: Shares = {}
+        self.stale_s = MIN_STALE_S
+        self._members = _LatestMessages()
+        self._groups = _LatestMessages()
+        self._fleet: _Message | None = None
+        self._own_in_fleet: Shares = {}
         self._own: collections.OrderedDict[int, Shares] = (
             collections.OrderedDict()
         )
 
-    def take_member(
+    def update_member(
         self, name: str, number: int, shares: Shares, now: float
     ) -> bool:
         """Takes what a member of this daemon's group has.
@@ -161,22 +163,22 @@
         Returns:
             Whether it is newer than what was known.
         """
-        if not self._members.take(name, number, shares, now):
+        if not self._members.update(name, number, shares, now):
             return False
         # It had been a group of its own; counted twice it would look busy.
         self._groups.drop(name)
         return True
 
-    def take_group(
+    def update_group(
         self, name: str, number: int, shares: Shares, now: float
     ) -> bool:
-        """Takes the sum of another group; as for `take_member`."""
-        if not self._groups.take(name, number, shares, now):
+        """Takes the sum of another group; as for `update_member`."""
+        if not self._groups.update(name, number, shares, now):
             return False
         self._members.drop(name)
         return True
 
-    def take_fleet(
+    def update_fleet(
         self, own_number: int, number: int, shares: Shares, now: float
     ) -> None:
         """Takes the sum of all daemons, this one included.
@@ -187,41 +189,41 @@
             shares: What all have together.
             now: The present time in seconds.
         """
-        self._fleet = _Advertised(at=now, number=number, shares=shares)
-        self._fleet_own = self._own.get(own_number, {})
+        self._fleet = _Message(at=now, number=number, shares=shares)
+        self._own_in_fleet = self._own.get(own_number, {})
 
-    def note_own(self, number: int, shares: Shares) -> None:
+    def record_own(self, number: int, shares: Shares) -> None:
         """Remembers what this daemon advertised under a number."""
         self._own[number] = shares
-        while len(self._own) > MOST_OWN:
+        while len(self._own) > MAX_OWN_MESSAGES:
             self._own.popitem(last=False)
 
     def member_numbers(self, now: float) -> dict[str, int]:
         """Returns the number of each member's newest message."""
         fresh = self._members.fresh(now, self.stale_s)
-        return {name: one.number for name, one in fresh.items()}
+        return {name: message.number for name, message in fresh.items()}
 
     def group_sum(self, own: Shares, now: float) -> dict[str, EngineShare]:
         """Returns what this daemon and its members have together."""
         members = self._members.fresh(now, self.stale_s).values()
-        return add_up([own, *(one.shares for one in members)])
+        return sum_shares([own, *(message.shares for message in members)])
 
     def other_groups(self, now: float) -> list[Shares]:
         """Returns the sums of the other groups."""
         groups = self._groups.fresh(now, self.stale_s).values()
-        return [one.shares for one in groups]
+        return [message.shares for message in groups]
 
     def at(self, engine: str, now: float) -> EngineShare:
         """Returns what all peers together have at an engine."""
         fleet = self._fleet
         if fleet is not None and now - fleet.at < self.stale_s:
-            total = fleet.shares.get(engine, NOTHING)
-            own = self._fleet_own.get(engine)
+            total = fleet.shares.get(engine, EMPTY_SHARE)
+            own = self._own_in_fleet.get(engine)
             return total if own is None else total - own
         members = self._members.at(engine, now, self.stale_s)
         return members + self._groups.at(engine, now, self.stale_s)
 
-    def drop_fleet(self) -> None:
+    def clear_fleet(self) -> None:
         """Forgets the sum of all; this daemon adds up itself now."""
         self._fleet = None
 
--- a/packages/bulrushgrade/bulrushgrade/placementplan.py
+++ b/packages/bulrushgrade/bulrushgrade/placementplan.py
@@ -12,30 +12,30 @@
 
 
 @attrs.frozen(kw_only=True)
-class PlanInput:
+class PlanRequest:
     """A prompt that is to be placed, and all that does not depend on where.
 
     Attributes:
         prompt: What is to be read.
         engines: Those that may be used.
         traits: What they have in common.
-        needs: What the request and its service allow.
+        latency_targets: What the request and its service allow.
         now: The present time in seconds.
         urgency: The prompt's; 0 is read first.
-        known_s: How long it would wait at engines, by id, where that is
+        reported_wait_s: How long it would wait at engines, by id, where that is
             known from the owners of their queues.
     """
 
     prompt: prompt_module.Prompt
     engines: list[directory.Registration]
     traits: routing.EngineTraits
-    needs: plancost.Needs
+    latency_targets: plancost.LatencyTargets
     now: float
     urgency: int = 0
-    known_s: Mapping[str, float] = attrs.field(factory=dict)
+    reported_wait_s: Mapping[str, float] = attrs.field(factory=dict)
 
     @property
-    def end_tokens(self) -> int:
+    def peak_tokens(self) -> int:
         """What its stream has in an engine's memory at most."""
         return self.prompt.prompt_tokens + self.prompt.output_tokens
 
@@ -44,7 +44,7 @@
         """Whether its shared parts are worth keeping in one place."""
         return self.prompt.shared_tokens >= self.traits.long_tokens
 
-    def rank(self) -> enginerank.Ranked:
+    def rank(self) -> enginerank.RankedEngines:
         """Returns the engines in the prompt's order."""
         return enginerank.rank_by_role(self.prompt, self.engines, self.traits)
 
@@ -62,14 +62,14 @@
         relative_size: The whole prompt's tokens against the mean.
         wait_s: How long it is expected to wait before that.
         read_tokens: How many tokens are expected to be read.
-        read_s: How long that should take by itself.
+        prefill_s: How long that should take by itself.
         busy_s: How long it keeps the reading engine from the next prompt:
             reading it and fetching what it lacks.
-        move_s: How long KV cache is moved between engines for it.
+        transfer_s: How long KV cache is moved between engines for it.
         latency_s: From the end of the reading to its answer.
-        take_over_s: From then to the first event, without the move itself,
+        handover_s: From then to the first event, without the move itself,
             where another engine generates.
-        first_s: When the first event is expected, seconds from now.
+        first_event_s: When the first event is expected, seconds from now.
         delay_s: How much longer recent readings took than expected.
         late_answers: How many answers are expected to become late by it, the
             request's own and others'.
@@ -81,16 +81,16 @@
     relative_size: float
     wait_s: float
     read_tokens: int
-    read_s: float
+    prefill_s: float
     busy_s: float
-    move_s: float
+    transfer_s: float
     latency_s: float
-    take_over_s: float
-    first_s: float
+    handover_s: float
+    first_event_s: float
     delay_s: float = 0.0
     late_answers: float = 0.0
 
     @property
-    def reader(self) -> directory.Registration:
+    def prefiller(self) -> directory.Registration:
         """The engine that reads the prompt."""
         return self.prefill or self.decode
--- a/packages/bulrushgrade/bulrushgrade/readdelay.py
+++ b/packages/bulrushgrade/bulrushgrade/prefilldelay.py
@@ -11,27 +11,27 @@
 
 import math
 
-WEIGHT = 0.1
+SAMPLE_WEIGHT = 0.1
 """Of each reading in the observed delay: some ten readings, about a second of
 a busy host."""
 
-FADE_S = 3.0
+DECAY_S = 3.0
 """In which it loses two thirds, where nothing is read: a burst is over by
 then."""
 
-MOST = 2.0
+MAX_FACTOR = 2.0
 """Of the expected time that one reading adds at most. An engine that was lost
 is no measure of the others' queues."""
 
 
-class ReadDelay:
+class PrefillDelay:
     """Observed less expected time of recent readings, 0 or more."""
 
     def __init__(self):
         self._seconds = 0.0
-        self._noted_at = 0.0
+        self._observed_at = 0.0
 
-    def note(self, expected_s: float, took_s: float, now: float) -> None:
+    def observe(self, expected_s: float, took_s: float, now: float) -> None:
         """Takes in a reading.
 
         Args:
@@ -40,12 +40,12 @@
             took_s: How long it took.
             now: The present time in seconds.
         """
-        seen_s = min(max(took_s - expected_s, 0.0), MOST * expected_s)
-        faded_s = self.at(now)
-        self._seconds = faded_s + WEIGHT * (seen_s - faded_s)
-        self._noted_at = now
+        excess_s = min(max(took_s - expected_s, 0.0), MAX_FACTOR * expected_s)
+        decayed_s = self.at(now)
+        self._seconds = decayed_s + SAMPLE_WEIGHT * (excess_s - decayed_s)
+        self._observed_at = now
 
     def at(self, now: float) -> float:
         """Returns the delay at a time, in seconds."""
-        age_s = now - self._noted_at
-        return self._seconds * math.exp(-age_s / FADE_S)
+        age_s = now - self._observed_at
+        return self._seconds * math.exp(-age_s / DECAY_S)
--- a/packages/bulrushgrade/bulrushgrade/readqueue.py
+++ b/packages/bulrushgrade/bulrushgrade/prefillqueue.py
@@ -30,14 +30,14 @@
     added_at: float
 
 
-class ReadQueue:
+class PrefillQueue:
     """Prompts in the order in which they were sent."""
 
     def __init__(self):
         self._entries: dict[Hashable, Entry] = {}
         # What is being read, and since when.
         self._current: Hashable | None = None
-        self._began_at = 0.0
+        self._current_began_at = 0.0
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -46,7 +46,7 @@
         """Enters a prompt that is sent now."""
         self._entries[key] = entry
         if len(self._entries) == 1:
-            self._current, self._began_at = key, entry.added_at
+            self._current, self._current_began_at = key, entry.added_at
 
     def remove(self, key: Hashable, now: float) -> None:
         """Takes out a prompt whose answer begins, or that was given up."""
@@ -54,16 +54,17 @@
         if ended is None or key != self._current or not self._entries:
             return
         self._current = min(
-            self._entries, key=lambda other: _turn(self._entries[other])
+            self._entries,
+            key=lambda other: _queue_position(self._entries[other]),
         )
         added_at = self._entries[self._current].added_at
         read_at = now - ended.latency_s
-        self._began_at = max(read_at, added_at, self._began_at)
+        self._current_began_at = max(read_at, added_at, self._current_began_at)
 
-    def drop_older(self, now: float, *, life_s: float) -> None:
+    def remove_older(self, now: float, *, max_age_s: float) -> None:
         """Takes out prompts that were sent at least so long ago."""
         for key, entry in list(self._entries.items()):
-            if now - entry.added_at >= life_s:
+            if now - entry.added_at >= max_age_s:
                 self.remove(key, now)
 
     def wait_s(self, now: float, *, urgency: int) -> float:
@@ -80,14 +81,16 @@
             return 0.0
         current = self._entries[self._current]
         # It has not been read yet, or its answer would have begun.
-        finish = max(self._began_at + current.seconds, now - current.latency_s)
+        finish = max(
+            self._current_began_at + current.seconds, now - current.latency_s
+        )
         waiting = sorted(
             (
                 self._entries[key]
                 for key in self._entries
                 if key != self._current
             ),
-            key=_turn,
+            key=_queue_position,
         )
         # Those that were begun since, while answers were on their way.
         while finish < now and waiting:
@@ -102,7 +105,7 @@
                 finish = max(finish, entry.added_at) + entry.seconds
         return max(0.0, finish - now)
 
-    def by_urgency(self, now: float) -> dict[int, float]:
+    def wait_by_urgency(self, now: float) -> dict[int, float]:
         """Returns the seconds that wait, by urgency.
 
         What is being read counts as the most urgent: it is not set aside.
@@ -119,5 +122,5 @@
         return found
 
 
-def _turn(entry: Entry) -> tuple[int, float]:
+def _queue_position(entry: Entry) -> tuple[int, float]:
     return entry.urgency, entry.added_at
--- a/packages/bulrushgrade/bulrushgrade/prefixindex.py
+++ b/packages/bulrushgrade/bulrushgrade/prefixindex.py
@@ -14,7 +14,7 @@
 
 from bulrushgrade import prompt as prompt_module
 
-LIFE_S = 5.0
+ENTRY_TTL_S = 5.0
 """How long an entry counts. By then whoever follows the engine's cache has
 advertised it, also what pushed it out again."""
 
@@ -58,7 +58,7 @@
     def __len__(self) -> int:
         return sum(len(holders) for holders in self._entries.values())
 
-    def note(self, holder: PrefixHolder, now: float) -> None:
+    def update(self, holder: PrefixHolder, now: float) -> None:
         """Enters what an engine was sent, has read, or gave up.
 
         Args:
@@ -77,14 +77,14 @@
         return [
             entry.holder
             for entry in self._entries.get(anchor, {}).values()
-            if now - entry.at < LIFE_S
+            if now - entry.at < ENTRY_TTL_S
         ]
 
     def forget(self, now: float) -> None:
         """Drops entries that count no more."""
         for part, holders in list(self._entries.items()):
             for engine, entry in list(holders.items()):
-                if now - entry.at >= LIFE_S:
+                if now - entry.at >= ENTRY_TTL_S:
                     del holders[engine]
             if not holders:
                 del self._entries[part]
--- a/packages/bulrushgrade/bulrushgrade/rendezvous.py
+++ b/packages/bulrushgrade/bulrushgrade/rendezvous.py
@@ -9,7 +9,7 @@
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
     """Returns names in the order in which they are responsible for a key."""
-    return sorted(names, key=_rate(key), reverse=True)
+    return sorted(names, key=_score_by(key), reverse=True)
 
 
 def pick(key: str, names: Iterable[str], count: int) -> list[str]:
@@ -20,11 +20,11 @@
         names: All that are known.
         count: How many are picked at most.
     """
-    return heapq.nlargest(count, names, key=_rate(key))
+    return heapq.nlargest(count, names, key=_score_by(key))
 
 
-def _rate(key: str) -> Callable[[str], tuple[int, str]]:
-    def rate(name: str) -> tuple[int, str]:
+def _score_by(key: str) -> Callable[[str], tuple[int, str]]:
+    def score(name: str) -> tuple[int, str]:
         return xxhash.xxh3_64_intdigest(f"{key}/{name}".encode()), name
 
-    return rate
+    return score
--- a/packages/bulrushgrade/bulrushgrade/streamload.py
+++ b/packages/bulrushgrade/bulrushgrade/streamload.py
@@ -9,13 +9,13 @@
 
     Attributes:
         prompt_tokens: The whole prompt's.
-        made_tokens: Generated so far.
-        event_at: When its last event came; None before the first.
+        generated_tokens: Generated so far.
+        last_event_at: When its last event came; None before the first.
     """
 
     prompt_tokens: int
-    made_tokens: int = 0
-    event_at: float | None = None
+    generated_tokens: int = 0
+    last_event_at: float | None = None
 
 
 class StreamLoad:
@@ -24,7 +24,7 @@
     def __init__(self):
         self._streams: set[Stream] = set()
         self._tokens = 0
-        self._event_at: float | None = None
+        self._last_event_at: float | None = None
 
     @property
     def running(self) -> int:
@@ -36,9 +36,12 @@
         """What they have in the engine's memory."""
         return self._tokens
 
-    def is_live(self, now: float, *, within_s: float) -> bool:
+    def has_recent_event(self, now: float, *, within_s: float) -> bool:
         """Returns whether an event came within a time."""
-        return self._event_at is not None and now - self._event_at <= within_s
+        return (
+            self._last_event_at is not None
+            and now - self._last_event_at <= within_s
+        )
 
     def begin(self, stream: Stream) -> None:
         """Notes a stream that is sent there."""
@@ -59,16 +62,16 @@
         Returns:
             The pause before them, by events; None for the first.
         """
-        made = count * event_tokens
-        stream.made_tokens += made
+        generated = count * event_tokens
+        stream.generated_tokens += generated
         if stream in self._streams:
-            self._tokens += made
-        before, stream.event_at = stream.event_at, now
-        self._event_at = now
-        return None if before is None else (now - before) / count
+            self._tokens += generated
+        previous_at, stream.last_event_at = stream.last_event_at, now
+        self._last_event_at = now
+        return None if previous_at is None else (now - previous_at) / count
 
     def end(self, stream: Stream) -> None:
         """Notes that a stream has ended, or runs elsewhere."""
         if stream in self._streams:
             self._streams.discard(stream)
-            self._tokens -= stream.prompt_tokens + stream.made_tokens
+            self._tokens -= stream.prompt_tokens + stream.generated_tokens
--- a/packages/bulrushgrade/tests/planscene.py
+++ b/packages/bulrushgrade/tests/planscene.py
@@ -30,29 +30,35 @@
 ]
 
 
-NEEDS = plancost.Needs(target_s=0.8, gap_s=0.4, least_gap_s=0.4)
+LATENCY_TARGETS = plancost.LatencyTargets(
+    target_s=0.8, gap_s=0.4, least_gap_s=0.4
+)
 
 
 def find_preferred(prompt, engines):
     return enginerank.rank_by_role(prompt, engines, TRAITS).preferred
 
 
-def make_planner(others=None):
-    fleet = enginefleet.EngineFleet(others=others)
+def make_planner(peers=None):
+    fleet = enginefleet.EngineFleet(peers=peers)
     return engineplan.EnginePlanner(zone="z1", fleet=fleet)
 
 
 def make_input(prompt, engines=ENGINES, **changes):
-    values = {"traits": TRAITS, "needs": NEEDS, "now": 0.0} | changes
-    return placementplan.PlanInput(prompt=prompt, engines=engines, **values)
+    values = {
+        "traits": TRAITS,
+        "latency_targets": LATENCY_TARGETS,
+        "now": 0.0,
+    } | changes
+    return placementplan.PlanRequest(prompt=prompt, engines=engines, **values)
 
 
 def make_plan(
-    prompt, engines=ENGINES, planner=None, may_hand_over=True, **changes
+    prompt, engines=ENGINES, planner=None, allow_handover=True, **changes
 ):
     planner = planner or make_planner()
-    given = make_input(prompt, engines, **changes)
-    return planner.plan(given, may_hand_over=may_hand_over)
+    request = make_input(prompt, engines, **changes)
+    return planner.plan(request, allow_handover=allow_handover)
 
 
 def let_stream(planner, engine, *, count, pause_s=0.1, prompt_tokens=1_000):
@@ -62,4 +68,4 @@
         stream = streamload.Stream(prompt_tokens=prompt_tokens)
         load.streams.begin(stream)
         for _ in range(20):
-            planner.fleet.note_pause(engine, TRAITS, pause_s, 0.0)
+            planner.fleet.observe_pause(engine, TRAITS, pause_s, 0.0)
--- a/packages/bulrushgrade/tests/test_aggregatorchoice.py
+++ b/packages/bulrushgrade/tests/test_aggregatorchoice.py
@@ -11,51 +11,51 @@
     return choice
 
 
-def test_the_first_adds_up_for_itself_and_all_others():
+def test_first_host_aggregates_for_itself_and_all_others():
     assert make("h1").chosen is None
     assert make("h2").chosen == "h1"
     assert make("h3").chosen == "h1"
 
 
-def test_a_silent_one_is_left_for_the_next():
+def test_silent_aggregator_is_replaced_by_the_next():
     """The first host dies; the second adds up for itself and the third."""
     for host, expected in (("h2", None), ("h3", "h2")):
         choice = make(host)
-        assert choice.give_up_silent(0.5, 0.1) is None
-        assert choice.give_up_silent(1.0, 0.1) == "h1"
+        assert choice.drop_silent(0.5, 0.1) is None
+        assert choice.drop_silent(1.0, 0.1) == "h1"
         assert choice.choose(RANKED, 1.0)
         assert choice.chosen == expected
 
 
-def test_one_that_is_heard_stays():
+def test_aggregator_that_sends_sums_is_kept():
     choice = make("h3")
-    assert choice.hear("h1", 0.7)
-    assert choice.give_up_silent(1.4, 0.1) is None
+    assert choice.observe_sum("h1", 0.7)
+    assert choice.drop_silent(1.4, 0.1) is None
     assert not choice.choose(RANKED, 1.4)
 
 
-def test_the_sum_of_another_one_says_nothing_of_it():
+def test_sum_of_another_host_does_not_count_for_the_aggregator():
     choice = make("h3")
-    assert not choice.hear("h2", 0.7)
-    assert choice.give_up_silent(1.4, 0.1) == "h1"
+    assert not choice.observe_sum("h2", 0.7)
+    assert choice.drop_silent(1.4, 0.1) == "h1"
 
 
 def test_long_periods_leave_more_time():
-    assert make("h3").give_up_silent(3.0, 4.0) is None
+    assert make("h3").drop_silent(3.0, 4.0) is None
 
 
-def test_one_that_was_silent_gets_another_chance():
+def test_silent_aggregator_is_retried_after_the_avoidance_period():
     choice = make("h3")
-    choice.give_up_silent(1.0, 0.1)
+    choice.drop_silent(1.0, 0.1)
     choice.choose(RANKED, 1.0)
-    choice.hear("h2", 1.0 + aggregatorchoice.AVOID_S)
+    choice.observe_sum("h2", 1.0 + aggregatorchoice.AVOID_S)
     assert choice.choose(RANKED, 1.0 + aggregatorchoice.AVOID_S)
     assert choice.chosen == "h1"
 
 
-def test_all_silent_leaves_the_host_to_itself():
+def test_host_aggregates_for_itself_when_all_are_silent():
     choice = make("h3")
     for now in (1.0, 2.0):
-        choice.give_up_silent(now, 0.1)
+        choice.drop_silent(now, 0.1)
         choice.choose(RANKED, now)
     assert choice.chosen is None
--- a/packages/bulrushgrade/tests/test_balance.py
+++ b/packages/bulrushgrade/tests/test_balance.py
@@ -26,7 +26,7 @@
     assert balancer.pick([far, near], avoid=NONE, now=0.0).id == "far"
 
 
-def test_slots_weigh_the_load():
+def test_load_is_relative_to_slots():
     balancer = make_balancer()
     big, small = make("big", slots=8), make("small", slots=2)
     for _ in range(2):
@@ -34,7 +34,7 @@
     assert balancer.pick([big, small], avoid=NONE, now=0.0).id == "big"
 
 
-def test_failing_endpoint_is_left_out_whatever_its_health_says():
+def test_failing_endpoint_is_ejected_despite_its_health_report():
     """An endpoint fails its requests while it reports that it is well.
 
     Each request sent there costs a caller its answer. Two failures in a row
@@ -67,7 +67,7 @@
     assert balancer.load(bad).ejections == 0
 
 
-def test_all_ejected_are_better_than_none():
+def test_ejected_endpoint_is_used_when_there_is_no_other():
     balancer = make_balancer()
     bad = make("bad")
     for _ in range(2):
@@ -100,7 +100,7 @@
     assert balancer.pick([slow, fast], avoid=NONE, now=0.0).id == "slow"
 
 
-def test_restarted_endpoint_starts_with_a_clean_record():
+def test_restarted_endpoint_has_no_failures():
     balancer = make_balancer()
     before, after = make("e", born_ms=1), make("e", born_ms=2)
     for _ in range(2):
--- a/packages/bulrushgrade/tests/test_directory.py
+++ b/packages/bulrushgrade/tests/test_directory.py
@@ -56,11 +56,11 @@
     """
     found = make_directory(make("e1"), make("e2"))
     change = found.remove("e1", now=5.0)
-    assert change.now is None
+    assert change.current is None
     assert ids(found, 5.0) == ["e2"]
 
 
-def test_all_records_lapsed_with_the_store():
+def test_endpoints_stay_usable_when_all_records_expired():
     """The store was away and every record lapsed, while all endpoints live.
 
     A caller would be refused though nothing is wrong with any endpoint. They
@@ -75,7 +75,7 @@
     assert ids(found, 7.0) == ["e1"]
 
 
-def test_some_records_lapsed_with_the_store():
+def test_endpoint_stays_usable_when_its_record_expired():
     """The store was away and the records of some endpoints lapsed.
 
     They live and are back within seconds. Leaving them out until then puts
@@ -121,7 +121,7 @@
     """
     found = make_directory(make("e1", born_ms=100, sequence=50))
     change = found.put(make("e1", born_ms=200, sequence=1), now=1.0)
-    assert change.was.incarnation != change.now.incarnation
+    assert change.previous.incarnation != change.current.incarnation
     assert found.usable("ledger", now=1.0)[0].born_ms == 200
     found.put(make("e1", born_ms=100, sequence=51), now=2.0)
     assert found.usable("ledger", now=2.0)[0].born_ms == 200
@@ -197,7 +197,7 @@
 )
 
 
-def test_endpoint_that_says_when_it_leaves_is_used_for_less_than_that():
+def test_endpoint_with_announced_end_is_used_for_part_of_that_time():
     """Guards against work that would be cut when a spot engine goes."""
     found = make_directory(make("e1"))
     leaving = make("e1", sequence=2, state="draining", leaves_s=0.8)
--- a/packages/bulrushgrade/tests/test_engineadmission.py
+++ b/packages/bulrushgrade/tests/test_engineadmission.py
@@ -6,7 +6,7 @@
 
 from bulrushgrade import engineadmission
 from bulrushgrade import placementplan
-from bulrushgrade import readqueue
+from bulrushgrade import prefillqueue
 from bulrushgrade import routing
 
 READ_S = 0.1
@@ -38,12 +38,12 @@
         relative_size=1.0,
         wait_s=wait_s,
         read_tokens=10_000,
-        read_s=READ_S,
+        prefill_s=READ_S,
         busy_s=READ_S,
-        move_s=0.0,
+        transfer_s=0.0,
         latency_s=0.0,
-        take_over_s=0.0,
-        first_s=wait_s + READ_S,
+        handover_s=0.0,
+        first_event_s=wait_s + READ_S,
     )
 
 
@@ -56,13 +56,13 @@
     )
 
 
-def test_prompts_that_will_be_late_let_others_go_first():
+def test_prompts_that_will_be_late_get_lowest_urgency():
     assert choose(0.3) == 2
     assert choose(0.5) == routing.LEAST_URGENT
     assert choose(0.3, waited_s=0.2) == routing.LEAST_URGENT
 
 
-def test_more_urgent_kinds_keep_their_place():
+def test_more_urgent_routes_keep_their_urgency():
     """Short prompts are late in a burst of long ones.
 
     Behind all long prompts they were lost: their callers left before.
@@ -81,7 +81,7 @@
     """
     arrivals = [0.05 * n for n in range(60)]
     arrivals += [3.0 + 0.2 * n for n in range(30)]
-    queue, waiting, free_at, in_time = readqueue.ReadQueue(), [], 0.0, 0
+    queue, waiting, free_at, in_time = prefillqueue.PrefillQueue(), [], 0.0, 0
 
     def read_until(now):
         nonlocal free_at, in_time
@@ -94,7 +94,7 @@
     for now in arrivals:
         read_until(now)
         wait_s = queue.wait_s(now, urgency=2)
-        entry = readqueue.Entry(
+        entry = prefillqueue.Entry(
             seconds=READ_S,
             latency_s=0.0,
             urgency=urgency_of(wait_s),
@@ -106,7 +106,7 @@
     return in_time
 
 
-def test_in_a_burst_as_many_are_in_time_as_can_be_read():
+def test_burst_is_served_in_time_up_to_capacity():
     """Long prompts come twice as fast as they can be read, for 3 s.
 
     In the order of arrival the queue grows beyond the target in the first
--- a/packages/bulrushgrade/tests/test_engineload.py
+++ b/packages/bulrushgrade/tests/test_engineload.py
@@ -3,8 +3,8 @@
 from bulrushgrade import directory
 from bulrushgrade import enginecache
 from bulrushgrade import engineload
+from bulrushgrade import prefilltimes
 from bulrushgrade import prompt as prompt_module
-from bulrushgrade import readtimes
 
 PREFILL, DECODE = directory.Stage.PREFILL, directory.Stage.DECODE
 
@@ -25,35 +25,35 @@
     return engineload.EngineLoad(memory_tokens=memory_tokens)
 
 
-def reading(expected_s=0.1, since=0.0, tokens=0, prompt=None):
-    return engineload.Reading(
+def make_prefill(expected_s=0.1, sent_at=0.0, tokens=0, prompt=None):
+    return engineload.PendingPrefill(
         expected_s=expected_s,
-        since=since,
+        sent_at=sent_at,
         tokens=tokens,
         parts=prompt.shared_parts if prompt else (),
     )
 
 
-def read_through(load, prompt):
+def run_prefill(load, prompt):
     """Has an engine read a prompt."""
-    sent = reading(prompt=prompt)
+    sent = make_prefill(prompt=prompt)
     load.begin(sent)
     load.answered(sent, PREFILL, 0.1)
 
 
-def test_parts_are_cached_once_they_were_read():
+def test_parts_are_cached_after_prefill():
     load = make_load()
-    read_through(load, make_prompt("s1"))
+    run_prefill(load, make_prompt("s1"))
     assert load.cache.cached_tokens(make_prompt("s1")) == 10_000
     assert load.cache.cached_tokens(make_prompt("s2")) == 0
 
 
-def test_parts_that_are_being_read_need_not_be_read_behind_it():
+def test_parts_in_prefill_are_expected_for_later_prompts():
     # Two prompts with one long part come within the time of reading it. The
     # second was sent to another engine and the part read twice, or had it
     # fetched from where it was not yet. Behind the first it costs nothing.
     load, prompt = make_load(), make_prompt("s1")
-    sent = reading(prompt=prompt)
+    sent = make_prefill(prompt=prompt)
     load.begin(sent)
     assert load.cache.expected_tokens(prompt, 0.0) == 10_000
     assert load.cache.cached_tokens(prompt) == 0
@@ -62,55 +62,55 @@
     assert load.cache.cached_tokens(prompt) == 10_000
 
 
-def test_parts_of_a_prompt_that_was_not_read_are_not_expected():
+def test_parts_of_a_dropped_prompt_are_not_expected():
     load, prompt = make_load(), make_prompt("s1")
-    sent = reading(prompt=prompt)
+    sent = make_prefill(prompt=prompt)
     load.begin(sent)
     load.dropped(sent, 0.1)
     assert load.cache.expected_tokens(prompt, 0.1) == 0
     load.cache.expect(prompt.shared_parts, 1.0)
-    assert load.cache.expected_tokens(prompt, 1.0 + enginecache.COMING_S) == 0
+    assert load.cache.expected_tokens(prompt, 1.0 + enginecache.PENDING_S) == 0
 
 
-def test_least_recently_used_parts_yield():
+def test_least_recently_used_parts_are_evicted():
     load = make_load(memory_tokens=30_000)
     for name in ("s1", "s2", "s1", "s3"):
-        read_through(load, make_prompt(name))
+        run_prefill(load, make_prompt(name))
     assert load.cache.cached_tokens(make_prompt("s1")) == 10_000
     assert load.cache.cached_tokens(make_prompt("s2")) == 0
 
 
 def test_own_queue_adds_up():
     load = make_load()
-    load.begin(reading(expected_s=0.2))
-    load.begin(reading(expected_s=0.3))
+    load.begin(make_prefill(expected_s=0.2))
+    load.begin(make_prefill(expected_s=0.3))
     assert load.wait_s(0.0, urgency=0) == 0.5
 
 
-def test_seen_delay_fades():
+def test_observed_delay_decays():
     load = make_load()
-    sent = reading(expected_s=0.1, since=0.0)
+    sent = make_prefill(expected_s=0.1, sent_at=0.0)
     load.begin(sent)
     load.answered(sent, DECODE, 1.1)
     assert load.wait_s(1.1, urgency=0) == 1.0 * engineload.DELAY_WEIGHT
     assert load.wait_s(9.0, urgency=0) < 0.01
 
 
-def test_silent_engine_looks_ever_longer():
+def test_wait_at_silent_engine_grows():
     """An engine hangs: it takes requests and answers none.
 
     By its queue it would look idle to every daemon that sent it little. The
     age of the oldest unanswered request grows without any message.
     """
     load = make_load()
-    load.begin(reading(expected_s=0.1, since=0.0))
+    load.begin(make_prefill(expected_s=0.1, sent_at=0.0))
     assert load.wait_s(0.5, urgency=0) == 0.4
     assert load.wait_s(2.1, urgency=0) == 2.0
 
 
-def test_dropped_reading_leaves_no_trace():
+def test_dropped_prefill_changes_no_estimate():
     load = make_load()
-    sent = reading()
+    sent = make_prefill()
     load.begin(sent)
     load.dropped(sent, 0.1)
     load.answered(sent, DECODE, 5.0)
@@ -119,23 +119,23 @@
 
 def speed(load, stage=PREFILL):
     """Returns the tokens that an engine is believed to read in a second."""
-    return 4_000 / load.read_s(4_000, 0, stage)
+    return 4_000 / load.prefill_s(4_000, 0, stage)
 
 
 def answer(load, *, tokens, took_s, expected_s, wait_s=0.0, now=0.0):
-    sent = engineload.Reading(
+    sent = engineload.PendingPrefill(
         expected_s=expected_s,
-        since=now,
+        sent_at=now,
         tokens=tokens,
         wait_s=wait_s,
         latency_s=0.06,
-        way=readtimes.Way.APART,
+        mode=prefilltimes.PrefillMode.DISAGGREGATED,
     )
     load.begin(sent)
     load.answered(sent, PREFILL, now + took_s)
 
 
-def test_latency_is_not_taken_for_slow_reading():
+def test_latency_is_not_counted_as_slow_prefill():
     """Answers begin 60 ms after a prompt was read, however short it is.
 
     Engines that read 140 tokens in a millisecond looked as if they read 35;
@@ -154,30 +154,30 @@
     assert 120_000 < speed(load) < 160_000
 
 
-def read_new_parts(load, *, shared_tokens, own_tokens, read_in):
+def prefill_new_parts(load, *, shared_tokens, own_tokens, prefill_in_s):
     """Has an engine read prompts with a new shared part each.
 
     Args:
         load: The engine's.
         shared_tokens: Of the shared part.
         own_tokens: Of the rest.
-        read_in: Seconds that reading takes.
+        prefill_in_s: Seconds that reading takes.
     """
     for number in range(40):
         prompt = make_prompt(f"s{number}", shared_tokens, own_tokens)
-        sent = engineload.Reading(
+        sent = engineload.PendingPrefill(
             expected_s=prompt.prompt_tokens / speed(load),
-            since=float(number),
+            sent_at=float(number),
             tokens=prompt.prompt_tokens,
             latency_s=0.06,
-            way=readtimes.Way.APART,
+            mode=prefilltimes.PrefillMode.DISAGGREGATED,
             parts=prompt.shared_parts,
         )
         load.begin(sent)
-        load.answered(sent, PREFILL, number + 0.06 + read_in)
+        load.answered(sent, PREFILL, number + 0.06 + prefill_in_s)
 
 
-def test_prompts_whose_shared_parts_may_be_cached_teach_the_speed():
+def test_speed_is_learned_from_prompts_that_may_be_cached():
     """Hundreds of shared parts pass through; few prompts find theirs cached.
 
     Engines read 140 tokens in a millisecond and were believed to read 40, the
@@ -187,26 +187,29 @@
     a prompt always has read, whatever the engine has of the rest.
     """
     load = make_load()
-    read_new_parts(
-        load, shared_tokens=500, own_tokens=1_500, read_in=2_000 / 140_000
+    prefill_new_parts(
+        load, shared_tokens=500, own_tokens=1_500, prefill_in_s=2_000 / 140_000
     )
     assert 90_000 < speed(load) <= 140_000
 
 
-def test_cached_parts_are_not_taken_for_speed():
+def test_cached_parts_are_not_counted_as_speed():
     """An engine had a long part that nobody here knew of.
 
     Reading 13,000 tokens seemed to take the time of 3,000. Were it believed
     four times as fast, its queue would be filled with four times the work.
     """
     load = make_load()
-    read_new_parts(
-        load, shared_tokens=10_000, own_tokens=3_000, read_in=3_000 / 40_000
+    prefill_new_parts(
+        load,
+        shared_tokens=10_000,
+        own_tokens=3_000,
+        prefill_in_s=3_000 / 40_000,
     )
     assert 36_000 < speed(load) < 44_000
 
 
-def test_waits_do_not_teach_the_speed():
+def test_waits_do_not_change_the_speed():
     """A burst keeps an engine's queue full for seconds.
 
     Readings in it last many times their own time. Were the engine believed
@@ -226,7 +229,7 @@
     assert speed(load) == before
 
 
-def test_an_engine_that_turned_slow_is_believed_to_be_slow():
+def test_speed_follows_an_engine_that_became_slow():
     load = make_load()
     before = speed(load)
     for number in range(40):
@@ -241,8 +244,8 @@
     assert speed(load) < before / 3
 
 
-def test_an_engine_without_readings_of_its_own_has_the_speed_of_the_others():
-    times = readtimes.ReadTimes()
+def test_new_engine_has_the_speed_of_the_others():
+    times = prefilltimes.PrefillTimes()
     known = engineload.EngineLoad(memory_tokens=100_000, times=times)
     for number in range(20):
         answer(
@@ -252,6 +255,6 @@
     assert speed(fresh) > max(60_000, 0.6 * speed(known))
 
 
-def test_generating_engine_reads_at_half_speed():
+def test_decoder_prefills_at_half_speed():
     load = make_load()
     assert speed(load, DECODE) == 0.5 * speed(load)
--- a/packages/bulrushgrade/tests/test_engineplan.py
+++ b/packages/bulrushgrade/tests/test_engineplan.py
@@ -27,7 +27,7 @@
         assert find_preferred(prompt, shuffled) == preferred
 
 
-def test_preferred_engines_are_spread_over_the_engines_that_only_read():
+def test_preferred_engines_are_spread_over_all_prefillers():
     found = collections.Counter(
         find_preferred(make_prompt(f"s{n}"), ENGINES).id for n in range(1000)
     )
@@ -35,14 +35,14 @@
     assert min(found.values()) > 400
 
 
-def test_without_engines_that_only_read_all_are_preferred():
+def test_without_prefillers_all_decoders_are_preferred():
     found = {
         find_preferred(make_prompt(f"s{n}"), ENGINES[2:]).id for n in range(100)
     }
     assert found == {"d1", "d2", "d3"}
 
 
-def test_engine_that_goes_moves_only_its_own_parts():
+def test_removed_engine_moves_only_its_own_parts():
     """An engine is lost while long prompts keep coming.
 
     If the found of all parts moved, every engine would read everything again
@@ -56,12 +56,12 @@
             assert find_preferred(prompt, left) is before
 
 
-def test_long_prompt_is_read_at_its_preferred_engine():
+def test_long_prompt_is_prefilled_at_its_preferred_engine():
     for number in range(50):
         prompt = make_prompt(f"s{number}")
         plan = make_plan(prompt)
-        reader = plan.prefill or plan.decode
-        assert reader is find_preferred(prompt, ENGINES)
+        prefiller = plan.prefill or plan.decode
+        assert prefiller is find_preferred(prompt, ENGINES)
         assert plan.fetch_from is None
 
 
@@ -70,7 +70,7 @@
     assert make_plan(tiny).prefill is None
 
 
-def test_short_prompts_are_read_apart_where_engines_that_generate_are_busy():
+def test_short_prompts_are_handed_over_when_decoders_are_busy():
     """Short prompts come at a rate that fills the few engines that generate.
 
     Each holds its streams up for ten milliseconds; a hundred a second would
@@ -83,12 +83,14 @@
         let_stream(planner, engine, count=10)
     assert make_plan(short, planner=planner).prefill is None
     for engine in ENGINES[2:]:
-        queued = engineload.Reading(expected_s=0.2, since=0.0, tokens=0)
+        queued = engineload.PendingPrefill(
+            expected_s=0.2, sent_at=0.0, tokens=0
+        )
         planner.fleet.load(engine, TRAITS).begin(queued)
     assert make_plan(short, planner=planner).prefill is not None
 
 
-def test_long_queue_at_home_spills():
+def test_long_queue_at_preferred_engine_diverts_prompt():
     """Bursts of long prompts hit the preferred of a popular part.
 
     Waiting behind seconds of work there is worse for the caller than having
@@ -101,42 +103,44 @@
         planner = make_planner()
         load = planner.fleet.load(preferred, TRAITS)
         kept = enginecache.CacheChange(part="s1", tokens=10_000)
-        load.cache.apply([kept], anew=False)
-        queued = engineload.Reading(expected_s=queued_s, since=0.0, tokens=0)
+        load.cache.apply([kept], reset=False)
+        queued = engineload.PendingPrefill(
+            expected_s=queued_s, sent_at=0.0, tokens=0
+        )
         load.begin(queued)
         plan = make_plan(prompt, planner=planner)
-        reader = plan.prefill or plan.decode
-        assert (reader is preferred) is stays
+        prefiller = plan.prefill or plan.decode
+        assert (prefiller is preferred) is stays
         assert plan.fetch_from is (None if stays else preferred)
 
 
-def test_without_generating_engines_there_is_no_plan():
+def test_without_decoders_there_is_no_plan():
     assert make_plan(make_prompt(), ENGINES[:2]) is None
 
 
-def test_second_try_is_not_handed_over():
+def test_retry_is_not_handed_over():
     for number in range(30):
         prompt = make_prompt(f"s{number}")
-        assert make_plan(prompt, may_hand_over=False).prefill is None
+        assert make_plan(prompt, allow_handover=False).prefill is None
 
 
-def test_receiver_of_a_part_stays_the_same():
+def test_decoder_of_a_part_is_stable():
     """What is handed over stays in the receiver's memory.
 
     Spread over all generating engines, each part would lie on all of them
     and push out those that are at preferred there.
     """
-    receivers = collections.defaultdict(set)
+    decoders = collections.defaultdict(set)
     for number in range(40):
         for _ in range(3):
             plan = make_plan(make_prompt(f"s{number}"))
             if plan.prefill is not None:
-                receivers[number].add(plan.decode.id)
-    assert receivers
-    assert all(len(found) == 1 for found in receivers.values())
+                decoders[number].add(plan.decode.id)
+    assert decoders
+    assert all(len(found) == 1 for found in decoders.values())
 
 
-def test_receiver_that_left_while_the_prompt_was_read():
+def test_decoder_that_left_during_prefill_is_replaced():
     """An engine reads a prompt for two seconds; its receiver leaves meanwhile.
 
     A request that is then sent to the receiver is new work at an engine that
@@ -145,15 +149,15 @@
     """
     planner = make_planner()
     prompt = make_prompt("s1")
-    first = planner.receiver(make_input(prompt))
+    first = planner.choose_decoder(make_input(prompt))
     left = [engine for engine in ENGINES if engine is not first]
-    second = planner.receiver(make_input(prompt, left, now=2.0))
+    second = planner.choose_decoder(make_input(prompt, left, now=2.0))
     assert second.stage is DECODE
     assert second is not first
-    assert planner.receiver(make_input(prompt, ENGINES[:2])) is None
+    assert planner.choose_decoder(make_input(prompt, ENGINES[:2])) is None
 
 
-def test_daemons_with_the_same_old_view_do_not_pick_the_same_engine():
+def test_daemons_with_the_same_stale_view_pick_different_engines():
     """Many daemons have heard that one engine of twelve is idle.
 
     Until they hear again, all of them would send it all that comes.
@@ -164,7 +168,9 @@
     for number in range(200):
         planner = make_planner()
         for engine in engines[1:12]:
-            queued = engineload.Reading(expected_s=0.3, since=0.0, tokens=0)
+            queued = engineload.PendingPrefill(
+                expected_s=0.3, sent_at=0.0, tokens=0
+            )
             planner.fleet.load(engine, TRAITS).begin(queued)
         plan = make_plan(make_prompt(f"s{number}"), engines, planner)
         picked[(plan.prefill or plan.decode).id] += 1
@@ -174,14 +180,14 @@
 def test_forget_keeps_live_and_busy_engines():
     planner = make_planner()
     busy, idle = ENGINES[0], ENGINES[1]
-    sent = engineload.Reading(expected_s=1.0, since=0.0, tokens=0)
+    sent = engineload.PendingPrefill(expected_s=1.0, sent_at=0.0, tokens=0)
     planner.fleet.load(busy, TRAITS).begin(sent)
     planner.fleet.load(idle, TRAITS)
     planner.fleet.forget([])
-    assert planner.fleet.load(busy, TRAITS).readings == 1
+    assert planner.fleet.load(busy, TRAITS).pending_prefills == 1
 
 
-def test_generating_engine_reads_long_prompts_last():
+def test_busy_decoder_is_last_choice_for_long_prefill():
     """Long prompts queue for a second at the engines that only read.
 
     Reading one at an engine that generates would begin at once, but each of
@@ -191,24 +197,28 @@
     for engine in ENGINES[2:]:
         let_stream(planner, engine, count=10)
     for engine in ENGINES[:2]:
-        queued = engineload.Reading(expected_s=1.0, since=0.0, tokens=0)
+        queued = engineload.PendingPrefill(
+            expected_s=1.0, sent_at=0.0, tokens=0
+        )
         planner.fleet.load(engine, TRAITS).begin(queued)
     assert make_plan(make_prompt("s1"), planner=planner).prefill is not None
 
 
-def test_idle_generating_engine_reads_what_would_wait():
+def test_idle_decoder_prefills_what_would_queue():
     """Nothing is generated yet, and prompts queue at the engines that read.
 
     A prompt of any length holds up nobody at an engine without streams.
     """
     planner = make_planner()
     for engine in ENGINES[:2]:
-        queued = engineload.Reading(expected_s=1.0, since=0.0, tokens=0)
+        queued = engineload.PendingPrefill(
+            expected_s=1.0, sent_at=0.0, tokens=0
+        )
         planner.fleet.load(engine, TRAITS).begin(queued)
     assert make_plan(make_prompt("s1"), planner=planner).prefill is None
 
 
-def test_stalled_streams_are_no_reason_to_read_beside_them():
+def test_stalled_streams_do_not_make_local_prefill_free():
     """A long prompt is read beside streams, which stand still meanwhile.
 
     Those streams are late by then. Were further prompts read there for free,
@@ -217,15 +227,19 @@
     planner = make_planner()
     for engine in ENGINES[2:]:
         let_stream(planner, engine, count=20)
-        queued = engineload.Reading(expected_s=0.6, since=0.0, tokens=0)
+        queued = engineload.PendingPrefill(
+            expected_s=0.6, sent_at=0.0, tokens=0
+        )
         planner.fleet.load(engine, TRAITS).begin(queued)
     for engine in ENGINES[:2]:
-        queued = engineload.Reading(expected_s=1.2, since=0.0, tokens=0)
+        queued = engineload.PendingPrefill(
+            expected_s=1.2, sent_at=0.0, tokens=0
+        )
         planner.fleet.load(engine, TRAITS).begin(queued)
     assert make_plan(make_prompt("s1"), planner=planner).prefill is not None
 
 
-def test_receiver_has_room_to_the_streams_end():
+def test_decoder_has_memory_for_the_whole_stream():
     """One engine's memory is nearly full of long streams, others' are not.
 
     Its queue is as short as theirs. A stream more would have another one
@@ -233,15 +247,15 @@
     """
     prompt = make_prompt("s1")
     planner = make_planner()
-    full = planner.receiver(make_input(prompt))
+    full = planner.choose_decoder(make_input(prompt))
     let_stream(planner, full, count=30, prompt_tokens=15_000)
     others = [e for e in ENGINES[2:] if e is not full]
     for engine in others:
         let_stream(planner, engine, count=60, prompt_tokens=1_000)
-    assert planner.receiver(make_input(prompt)) in others
+    assert planner.choose_decoder(make_input(prompt)) in others
 
 
-def test_receiver_counts_what_peers_have_there():
+def test_choice_of_decoder_counts_streams_of_peers():
     """Every host has a few streams at an engine, all of them together many.
 
     By its own alone each host would go on sending there.
@@ -249,11 +263,11 @@
     peers = peerloads.PeerLoads()
     planner = make_planner(peers)
     prompt = make_prompt("s1")
-    first = planner.receiver(make_input(prompt))
+    first = planner.choose_decoder(make_input(prompt))
     for number in range(6):
         share = peerloads.EngineShare(streams=10, tokens=80_000)
-        peers.take_group(f"h{number}", 1, {first.id: share}, 0.0)
-    assert planner.receiver(make_input(prompt)) is not first
+        peers.update_group(f"h{number}", 1, {first.id: share}, 0.0)
+    assert planner.choose_decoder(make_input(prompt)) is not first
 
 
 def test_engine_with_slow_events_gets_fewer_streams():
@@ -263,8 +277,8 @@
     """
     planner = make_planner()
     prompt = make_prompt("s1")
-    slow = planner.receiver(make_input(prompt))
+    slow = planner.choose_decoder(make_input(prompt))
     for engine in ENGINES[2:]:
         pause_s = 0.32 if engine is slow else 0.08
         let_stream(planner, engine, count=10, pause_s=pause_s)
-    assert planner.receiver(make_input(prompt)) is not slow
+    assert planner.choose_decoder(make_input(prompt)) is not slow
--- a/packages/bulrushgrade/tests/test_engineplan_load.py
+++ b/packages/bulrushgrade/tests/test_engineplan_load.py
@@ -16,7 +16,7 @@
 from bulrushgrade import engineload
 
 
-def test_large_prompts_get_their_share():
+def test_large_prompts_are_not_refused_more_often():
     """Prompts of all sizes arrive in a burst; one in ten is far larger.
 
     With queues as long as the callers' patience, a large prompt never begins
@@ -28,11 +28,13 @@
     make_plan(small, planner=planner)
     taken = []
     for queued_s in (1.2, 1.5, 2.0):
-        queued = engineload.Reading(expected_s=queued_s, since=0.0, tokens=0)
+        queued = engineload.PendingPrefill(
+            expected_s=queued_s, sent_at=0.0, tokens=0
+        )
         for engine in ENGINES:
             load = planner.fleet.load(engine, TRAITS)
             kept = enginecache.CacheChange(part="s1", tokens=10_000)
-            load.cache.apply([kept], anew=False)
+            load.cache.apply([kept], reset=False)
             load.begin(queued)
         for prompt in (small, large):
             plan = make_plan(prompt, planner=planner)
@@ -69,82 +71,88 @@
             refused += 1
             continue
         taken += 1
-        reader = plan.prefill or plan.decode
-        free_at[reader.id] = max(now, free_at[reader.id]) + plan.read_s
-        done = free_at[reader.id] + plan.latency_s
+        prefiller = plan.prefill or plan.decode
+        free_at[prefiller.id] = max(now, free_at[prefiller.id]) + plan.prefill_s
+        done = free_at[prefiller.id] + plan.latency_s
         late += done - now > 3.2
-        reading = engineload.Reading(
-            expected_s=plan.read_s,
-            since=now,
+        reading = engineload.PendingPrefill(
+            expected_s=plan.prefill_s,
+            sent_at=now,
             tokens=plan.read_tokens,
             wait_s=plan.wait_s,
             latency_s=plan.latency_s,
             parts=prompt.shared_parts,
         )
-        load = planner.fleet.load(reader, TRAITS)
+        load = planner.fleet.load(prefiller, TRAITS)
         load.begin(reading)
-        entry = (done, number, load, reading, reader.stage)
+        entry = (done, number, load, reading, prefiller.stage)
         heapq.heappush(under_way, entry)
     assert refused > 80
     assert taken > 95
     assert late < taken * 0.1
 
 
-def test_engine_that_reads_a_part_is_where_the_next_prompt_with_it_goes():
+def test_next_prompt_goes_where_its_part_is_being_prefilled():
     # Two prompts with one long part come within the time of reading it. The
     # second had the part read once more, at an idle engine. Behind the first
     # it waits for what is left and reads its own part only.
     planner = make_planner()
     prompt = make_prompt("s1", shared_tokens=16_000)
     first = make_plan(prompt, planner=planner)
-    reading = engineload.Reading(
+    reading = engineload.PendingPrefill(
         expected_s=first.busy_s,
-        since=0.0,
+        sent_at=0.0,
         tokens=first.read_tokens,
         parts=prompt.shared_parts,
     )
     planner.fleet.load(first.prefill, TRAITS).begin(reading)
-    known_s = {first.prefill.id: first.busy_s - 0.1}
-    second = make_plan(prompt, planner=planner, now=0.1, known_s=known_s)
+    reported_wait_s = {first.prefill.id: first.busy_s - 0.1}
+    second = make_plan(
+        prompt, planner=planner, now=0.1, reported_wait_s=reported_wait_s
+    )
     assert second.prefill is first.prefill
     assert second.read_tokens == prompt.parts[-1].tokens
     assert second.fetch_from is None
 
 
-def test_known_queues_go_before_what_was_heard():
+def test_reported_waits_take_precedence_over_advertised_load():
     # By what peers advertised a moment ago the preferred engine is idle; the
     # owner of its queue knows of five prompts that were sent there since.
     prompt = make_prompt("s1")
     preferred = find_preferred(prompt, ENGINES)
     other = next(e for e in ENGINES[:2] if e is not preferred)
-    plan = make_plan(prompt, known_s={preferred.id: 2.0, other.id: 0.0})
+    plan = make_plan(prompt, reported_wait_s={preferred.id: 2.0, other.id: 0.0})
     assert plan.prefill is other
     assert plan.wait_s == 0.0
 
 
-def test_readings_that_last_longer_than_expected_refuse_sooner():
+def test_prefills_longer_than_expected_lead_to_earlier_refusals():
     # More comes than the engines' memories hold, so that parts are read again
     # that were expected to be there. Prompts were let in for a wait of a
     # second, waited for two, and were cut at their deadline.
     planner = make_planner()
     prompt = make_prompt("s1")
-    known_s = {"p1": 1.0, "p2": 1.0, "d1": 1.0, "d2": 1.0, "d3": 1.0}
-    plan = make_plan(prompt, planner=planner, known_s=known_s)
+    reported_wait_s = {"p1": 1.0, "p2": 1.0, "d1": 1.0, "d2": 1.0, "d3": 1.0}
+    plan = make_plan(prompt, planner=planner, reported_wait_s=reported_wait_s)
     assert engineadmission.lateness_s(plan, left_s=5.0, patience_s=3.2) <= 0
     for number in range(20):
         took_s = 2.0 * (plan.wait_s + plan.busy_s)
-        planner.fleet.note_read(plan, took_s, 0.1 * number)
-    late = make_plan(prompt, planner=planner, known_s=known_s, now=2.0)
+        planner.fleet.observe_prefill(plan, took_s, 0.1 * number)
+    late = make_plan(
+        prompt, planner=planner, reported_wait_s=reported_wait_s, now=2.0
+    )
     assert late.wait_s == plan.wait_s
     assert engineadmission.lateness_s(late, left_s=5.0, patience_s=3.2) > 0
-    calm = make_plan(prompt, planner=planner, known_s=known_s, now=12.0)
+    calm = make_plan(
+        prompt, planner=planner, reported_wait_s=reported_wait_s, now=12.0
+    )
     assert engineadmission.lateness_s(calm, left_s=5.0, patience_s=3.2) <= 0
 
 
-def test_without_engines_there_is_nobody_to_ask():
+def test_without_engines_there_are_no_candidates():
     # A host has just started: it knows the routes and no endpoint yet. The
     # first long prompt ended the process, and with it every other request.
     planner = make_planner()
     prompt = make_prompt("s1")
-    assert planner.reading_candidates(make_input(prompt, [])) == []
+    assert planner.prefill_candidates(make_input(prompt, [])) == []
     assert make_plan(prompt, engines=[]) is None
--- a/packages/bulrushgrade/tests/test_enginequeue.py
+++ b/packages/bulrushgrade/tests/test_enginequeue.py
@@ -1,11 +1,11 @@
 """Tests of what waits at engines."""
 
 from bulrushgrade import enginequeue
-from bulrushgrade import readqueue
+from bulrushgrade import prefillqueue
 
 
 def entry(seconds, now):
-    return readqueue.Entry(
+    return prefillqueue.Entry(
         seconds=seconds, latency_s=0.0, urgency=0, added_at=now
     )
 
@@ -22,14 +22,14 @@
     assert queues.wait_s("e", 0.8, urgency=0) == 0.0
 
 
-def test_a_prompt_that_is_overdue_leaves_those_behind_it_waiting():
+def test_overdue_prompt_does_not_shorten_the_queue_behind_it():
     queues = enginequeue.EngineQueues()
     queues.begin("e", ("h1", 1), entry(0.4, 0.0))
     queues.begin("e", ("h2", 1), entry(0.3, 0.0))
     assert abs(queues.wait_s("e", 5.0, urgency=0) - 0.3) < 1e-9
 
 
-def test_an_end_that_was_lost_is_forgotten():
+def test_entry_without_end_expires():
     # A daemon dies while its prompt is read, or its datagram is lost. The
     # engine would look busy for ever, and nothing would be sent to it.
     queues = enginequeue.EngineQueues()
@@ -42,7 +42,7 @@
     assert len(queues) == 0
 
 
-def test_an_end_without_a_beginning_changes_nothing():
+def test_end_of_unknown_entry_changes_nothing():
     queues = enginequeue.EngineQueues()
     queues.end("e", ("h1", 1), 0.0)
     queues.begin("e", ("h1", 2), entry(0.5, 0.0))
--- a/packages/bulrushgrade/tests/test_enginerank.py
+++ b/packages/bulrushgrade/tests/test_enginerank.py
@@ -22,7 +22,7 @@
     )
 
 
-def test_prompts_that_only_begin_alike_are_spread_over_all_engines():
+def test_prompts_with_a_short_common_prefix_are_spread_over_all_engines():
     """Long prompts begin with one of three short parts, then a long one.
 
     Callers see their streams stand still: ranked by the short part, all of
--- a/packages/bulrushgrade/tests/test_pausemodel.py
+++ b/packages/bulrushgrade/tests/test_pausemodel.py
@@ -3,18 +3,18 @@
 from bulrushgrade import pausemodel
 
 
-def observe(model, *, count=300, slope_s=1e-6, factor=None, times=1.0):
+def observe_many(model, *, count=300, slope_s=1e-6, factor=None, times=1.0):
     factor = factor or pausemodel.new_factor()
     for number in range(count):
         tokens = 20_000.0 * (number % 20)
-        model.note(tokens, times * (0.03 + slope_s * tokens), factor)
+        model.observe(tokens, times * (0.03 + slope_s * tokens), factor)
     return factor
 
 
 def test_pause_grows_with_the_tokens_in_memory():
     model = pausemodel.PauseModel()
     assert model.expected_s(100_000) == 0.0
-    observe(model)
+    observe_many(model)
     assert abs(model.expected_s(0) - 0.03) < 0.005
     assert abs(model.expected_s(300_000) - 0.33) < 0.03
 
@@ -25,21 +25,21 @@
     Were its pauses taken for the fleet's, every engine would look full.
     """
     model, slow = pausemodel.PauseModel(), pausemodel.new_factor()
-    observe(model)
-    observe(model, count=100, factor=slow, times=4.0)
+    observe_many(model)
+    observe_many(model, count=100, factor=slow, times=4.0)
     assert slow.value > 2.5
     assert model.expected_s(100_000) < 0.2
 
 
-def test_a_preempted_stream_says_nothing_of_a_step():
+def test_pause_of_a_preempted_stream_is_capped():
     model = pausemodel.PauseModel()
-    factor = observe(model)
-    model.note(100_000, 5.0, factor)
+    factor = observe_many(model)
+    model.observe(100_000, 5.0, factor)
     assert model.expected_s(100_000) < 0.15
 
 
-def test_spread_is_that_of_the_pauses():
+def test_stddev_follows_the_pauses():
     model, factor = pausemodel.PauseModel(), pausemodel.new_factor()
     for number in range(2_000):
-        model.note(50_000, 0.1 if number % 2 else 0.06, factor)
-    assert 0.01 < model.spread_s < 0.03
+        model.observe(50_000, 0.1 if number % 2 else 0.06, factor)
+    assert 0.01 < model.stddev_s < 0.03
--- a/packages/bulrushgrade/tests/test_plancost.py
+++ b/packages/bulrushgrade/tests/test_plancost.py
@@ -6,52 +6,54 @@
 
 from bulrushgrade import plancost
 
-NEEDS = plancost.Needs(target_s=0.5, gap_s=0.2, least_gap_s=0.2)
-THERE = plancost.Generation(
+LATENCY_TARGETS = plancost.LatencyTargets(
+    target_s=0.5, gap_s=0.2, least_gap_s=0.2
+)
+LOAD = plancost.DecodeLoad(
     streams=20,
     tokens=100_000,
     pause_s=0.08,
-    pause_after_s=0.082,
+    joined_pause_s=0.082,
     memory_tokens=440_000,
     slots=48,
-    spread_s=0.02,
+    stddev_s=0.02,
     events=20.0,
 )
 
 
-def test_short_reading_beside_fast_streams_harms_nobody():
-    assert plancost.reading_harm(THERE, 0.0, 0.02, NEEDS) < 0.1
+def test_short_prefill_beside_fast_streams_costs_little():
+    assert plancost.local_prefill_cost(LOAD, 0.0, 0.02, LATENCY_TARGETS) < 0.1
 
 
-def test_long_reading_makes_all_streams_late():
-    assert plancost.reading_harm(THERE, 0.0, 0.4, NEEDS) > 15
+def test_long_prefill_makes_all_streams_late():
+    assert plancost.local_prefill_cost(LOAD, 0.0, 0.4, LATENCY_TARGETS) > 15
 
 
-def test_reading_behind_another_one_still_harms():
-    behind = plancost.reading_harm(THERE, 0.5, 0.4, NEEDS)
+def test_prefill_behind_another_one_still_costs():
+    behind = plancost.local_prefill_cost(LOAD, 0.5, 0.4, LATENCY_TARGETS)
     assert behind > 2.0
 
 
-def test_reading_beside_nobody_harms_nobody():
-    idle = attrs.evolve(THERE, streams=0, tokens=0)
-    assert plancost.reading_harm(idle, 0.0, 5.0, NEEDS) == 0.0
+def test_prefill_without_streams_costs_nothing():
+    idle = attrs.evolve(LOAD, streams=0, tokens=0)
+    assert plancost.local_prefill_cost(idle, 0.0, 5.0, LATENCY_TARGETS) == 0.0
 
 
 def test_full_memory_costs_more_than_a_late_answer():
-    full = attrs.evolve(THERE, tokens=430_000)
-    assert plancost.stream_harm(full, 12_000, NEEDS) > 1.0
-    assert plancost.stream_harm(THERE, 12_000, NEEDS) < 0.1
+    full = attrs.evolve(LOAD, tokens=430_000)
+    assert plancost.added_stream_cost(full, 12_000, LATENCY_TARGETS) > 1.0
+    assert plancost.added_stream_cost(LOAD, 12_000, LATENCY_TARGETS) < 0.1
 
 
 def test_full_slots_cost_as_much_as_full_memory():
-    full = attrs.evolve(THERE, streams=48)
-    assert plancost.stream_harm(full, 12_000, NEEDS) > 1.0
+    full = attrs.evolve(LOAD, streams=48)
+    assert plancost.added_stream_cost(full, 12_000, LATENCY_TARGETS) > 1.0
 
 
 def test_routes_without_a_gap_have_no_late_pauses():
-    needs = plancost.Needs(target_s=0.5)
-    assert plancost.reading_harm(THERE, 0.0, 5.0, needs) == 0.0
-    assert plancost.crowding(THERE, 5.0, None) < 0.5
+    latency_targets = plancost.LatencyTargets(target_s=0.5)
+    assert plancost.local_prefill_cost(LOAD, 0.0, 5.0, latency_targets) == 0.0
+    assert plancost.crowding(LOAD, 5.0, None) < 0.5
 
 
 def test_streams_beyond_the_slots_wait_for_one():
@@ -60,27 +62,29 @@
     130 streams were sent to engines with 48 slots each; none of the queues
     of readings showed it, and first events came half a second late.
     """
-    assert plancost.slot_wait_s(THERE) == 0.0
-    full = attrs.evolve(THERE, streams=47)
+    assert plancost.slot_wait_s(LOAD) == 0.0
+    full = attrs.evolve(LOAD, streams=47)
     assert plancost.slot_wait_s(full) == 0.0
-    over = attrs.evolve(THERE, streams=95)
+    over = attrs.evolve(LOAD, streams=95)
     assert abs(plancost.slot_wait_s(over) - 20 * 0.08) < 1e-9
 
 
 def test_crowding_is_the_scarcest_of_memory_slots_and_pause():
-    assert plancost.crowding(THERE, 0.0, 0.2) == 20 / 48
-    slow = attrs.evolve(THERE, pause_s=0.18)
+    assert plancost.crowding(LOAD, 0.0, 0.2) == 20 / 48
+    slow = attrs.evolve(LOAD, pause_s=0.18)
     assert abs(plancost.crowding(slow, 0.0, 0.2) - 0.9) < 1e-9
     # An empty engine has a pause as well, which leaves all of its room.
-    base = attrs.evolve(slow, pause_s=0.1, least_pause_s=0.1, streams=1)
+    base = attrs.evolve(slow, pause_s=0.1, min_pause_s=0.1, streams=1)
     assert plancost.crowding(base, 0.0, 0.2) < 0.3
     assert abs(plancost.crowding(base, 0.05, 0.2) - 0.5) < 1e-9
-    full = attrs.evolve(THERE, tokens=440_000)
+    full = attrs.evolve(LOAD, tokens=440_000)
     assert plancost.crowding(full, 0.0, 0.2) == 1.0
 
 
 @given(st.floats(0, 1), st.floats(0, 1), st.floats(0, 0.2))
-def test_longer_pauses_are_never_less_likely_late(one, two, spread_s):
+def test_longer_pauses_are_never_less_likely_late(one, two, stddev_s):
     low, high = sorted((one, two))
-    late = [plancost.pause_late(p, spread_s, 0.2) for p in (low, high)]
+    late = [
+        plancost.pause_late_probability(p, stddev_s, 0.2) for p in (low, high)
+    ]
     assert 0.0 <= late[0] <= late[1] <= 1.0
--- a/packages/bulrushgrade/tests/test_readqueue.py
+++ b/packages/bulrushgrade/tests/test_prefillqueue.py
@@ -1,10 +1,10 @@
 """Tests of what waits at one engine."""
 
-from bulrushgrade import readqueue
+from bulrushgrade import prefillqueue
 
 
 def entry(seconds, *, added_at=0.0, latency_s=0.0, urgency=0):
-    return readqueue.Entry(
+    return prefillqueue.Entry(
         seconds=seconds,
         latency_s=latency_s,
         urgency=urgency,
@@ -13,7 +13,7 @@
 
 
 def make_queue(*seconds, latency_s=0.0):
-    queue = readqueue.ReadQueue()
+    queue = prefillqueue.PrefillQueue()
     for number, length_s in enumerate(seconds):
         queue.add(number, entry(length_s, latency_s=latency_s))
     return queue
@@ -33,7 +33,7 @@
     assert wait_s(queue, 0.8) == 0.0
 
 
-def test_prompts_that_were_read_keep_nobody_waiting():
+def test_prefilled_prompts_do_not_count_as_queued():
     """Answers begin 60 ms after prompts of 20 ms were read.
 
     Three of them are on their way at any time. An engine that was idle for
@@ -46,30 +46,30 @@
     assert wait_s(queue, 0.07) == 0.02
 
 
-def test_a_prompt_that_is_overdue_keeps_those_behind_it_waiting():
+def test_overdue_prompt_keeps_the_queue_behind_it():
     queue = make_queue(0.02, 0.3, latency_s=0.06)
     assert wait_s(queue, 5.0) == 0.24
 
 
-def test_an_answer_that_begins_early_moves_the_others_up():
+def test_early_answer_shortens_the_wait():
     queue = make_queue(0.4, 0.3, latency_s=0.06)
     queue.remove(0, 0.16)
     assert wait_s(queue, 0.16) == 0.24
 
 
-def test_one_that_is_served_out_of_turn_leaves_the_others():
+def test_out_of_order_answer_keeps_the_others_queued():
     queue = make_queue(0.4, 0.1, 0.3)
     queue.remove(1, 0.2)
     assert wait_s(queue, 0.2) == 0.5
 
 
-def test_urgent_prompts_go_first_but_for_what_is_being_read():
+def test_urgent_prompt_waits_only_for_the_current_prefill():
     """Long prompts wait in a row, and a short, more urgent one comes.
 
     It was refused for the whole queue, while the engine reads it as soon as
     the long prompt at hand is done.
     """
-    queue = readqueue.ReadQueue()
+    queue = prefillqueue.PrefillQueue()
     for number in range(4):
         queue.add(number, entry(0.2, urgency=2))
     assert wait_s(queue, 0.1, urgency=0) == 0.1
@@ -81,13 +81,13 @@
     assert wait_s(queue, 0.2, urgency=0) == 0.05
 
 
-def test_the_next_long_prompt_is_begun_before_the_answer_to_the_last():
+def test_next_prefill_begins_before_the_last_answer():
     """Long prompts wait in a row; the first is read, its answer on the way.
 
     The engine has begun the second. An urgent prompt was sent there as if it
     were read at once, and waited 0.14 s in the mean: its target is 0.25 s.
     """
-    queue = readqueue.ReadQueue()
+    queue = prefillqueue.PrefillQueue()
     for number in range(3):
         queue.add(number, entry(0.2, urgency=2, latency_s=0.06))
     assert wait_s(queue, 0.25, urgency=0) == 0.15
@@ -97,8 +97,8 @@
     assert wait_s(queue, 0.25, urgency=2) == 0.4
 
 
-def test_an_urgent_prompt_is_begun_when_the_one_at_hand_was_read():
-    queue = readqueue.ReadQueue()
+def test_urgent_prompt_begins_when_the_current_prefill_ends():
+    queue = prefillqueue.PrefillQueue()
     for number in range(3):
         queue.add(number, entry(0.2, urgency=2, latency_s=0.06))
     queue.add("urgent", entry(0.1, added_at=0.1, latency_s=0.06))
@@ -106,16 +106,16 @@
     assert wait_s(queue, 0.22, urgency=2) == 0.48
 
 
-def test_what_is_being_read_counts_as_urgent():
-    queue = readqueue.ReadQueue()
+def test_current_prefill_counts_as_most_urgent():
+    queue = prefillqueue.PrefillQueue()
     queue.add("long", entry(0.4, urgency=2))
     queue.add("next", entry(0.3, urgency=2))
-    found = queue.by_urgency(0.1)
+    found = queue.wait_by_urgency(0.1)
     assert {u: round(s, 6) for u, s in found.items()} == {0: 0.3, 2: 0.3}
 
 
 def test_old_prompts_are_dropped():
     queue = make_queue(9.0)
     queue.add("later", entry(0.3, added_at=8.0))
-    queue.drop_older(10.0, life_s=10.0)
+    queue.remove_older(10.0, max_age_s=10.0)
     assert len(queue) == 1
--- a/packages/bulrushgrade/tests/test_prefixindex.py
+++ b/packages/bulrushgrade/tests/test_prefixindex.py
@@ -16,38 +16,38 @@
 GONE = attrs.evolve(COMING, state=prefixindex.HolderState.GONE)
 
 
-def test_a_part_is_found_from_the_moment_it_is_sent():
+def test_part_is_found_once_it_is_sent():
     index = prefixindex.PrefixIndex()
     assert index.find("p", 0.0) == []
-    index.note(COMING, 0.0)
+    index.update(COMING, 0.0)
     assert index.find("p", 0.1) == [COMING]
-    index.note(KEPT, 0.4)
+    index.update(KEPT, 0.4)
     assert index.find("p", 0.5) == [KEPT]
     assert index.find("q", 0.5) == []
 
 
-def test_a_part_that_was_not_read_is_gone():
+def test_part_that_was_not_prefilled_is_removed():
     # The engine refused the prompt or died. Others would wait for a part
     # that never comes.
     index = prefixindex.PrefixIndex()
-    index.note(COMING, 0.0)
-    index.note(GONE, 0.2)
-    index.note(GONE, 0.3)
+    index.update(COMING, 0.0)
+    index.update(GONE, 0.2)
+    index.update(GONE, 0.3)
     assert index.find("p", 0.3) == []
 
 
-def test_entries_count_until_caches_were_heard_of():
+def test_entries_expire_after_their_ttl():
     index = prefixindex.PrefixIndex()
-    index.note(KEPT, 0.0)
-    assert index.find("p", prefixindex.LIFE_S) == []
-    index.note(attrs.evolve(KEPT, engine="f"), 1.0)
-    index.forget(prefixindex.LIFE_S)
+    index.update(KEPT, 0.0)
+    assert index.find("p", prefixindex.ENTRY_TTL_S) == []
+    index.update(attrs.evolve(KEPT, engine="f"), 1.0)
+    index.forget(prefixindex.ENTRY_TTL_S)
     assert len(index) == 1
-    index.forget(prefixindex.LIFE_S + 1.0)
+    index.forget(prefixindex.ENTRY_TTL_S + 1.0)
     assert len(index) == 0
 
 
-def test_prompts_that_only_begin_alike_are_told_apart():
+def test_prompts_with_a_short_common_prefix_have_separate_entries():
     """A third of all long prompts begin with the same few hundred tokens.
 
     Under those, each prompt that was sent to an engine took the place of the
@@ -57,6 +57,6 @@
     index = prefixindex.PrefixIndex()
     for name in ("d1", "d2"):
         rest = prompt_module.PromptPart(id=name, tokens=4_900)
-        index.note(attrs.evolve(COMING, parts=(begin, rest)), 0.0)
+        index.update(attrs.evolve(COMING, parts=(begin, rest)), 0.0)
     assert len(index.find("d1", 0.1)) == len(index.find("d2", 0.1)) == 1
     assert index.find("begin", 0.1) == []
--- a/packages/bulrushgrade/tests/test_streamload.py
+++ b/packages/bulrushgrade/tests/test_streamload.py
@@ -3,7 +3,7 @@
 from bulrushgrade import streamload
 
 
-def test_streams_hold_what_they_read_and_made():
+def test_streams_hold_prompt_and_generated_tokens():
     load = streamload.StreamLoad()
     one = streamload.Stream(prompt_tokens=1_000)
     two = streamload.Stream(prompt_tokens=500)
@@ -16,7 +16,7 @@
     assert (load.running, load.tokens) == (1, 500)
 
 
-def test_pauses_are_by_event():
+def test_pause_is_divided_by_event_count():
     load = streamload.StreamLoad()
     stream = streamload.Stream(prompt_tokens=1_000)
     load.begin(stream)
@@ -29,7 +29,7 @@
     assert note(2, 2.5) == 0.5
 
 
-def test_an_event_after_the_end_holds_nothing():
+def test_event_after_the_end_adds_no_tokens():
     load = streamload.StreamLoad()
     stream = streamload.Stream(prompt_tokens=1_000)
     load.begin(stream)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachesharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachesharing.py
@@ -51,14 +51,14 @@
         engine: directory_module.Registration,
         changes: tuple[enginecache.CacheChange, ...],
         *,
-        anew: bool,
+        reset: bool,
     ) -> None:
         """Takes what this daemon saw of an engine and advertises it."""
         advertised = [c for c in changes if self._is_relevant(engine, c)]
         self._gossip.advertise_changes(engine.id, tuple(advertised))
         # What this daemon had read itself may go without peers knowing of it.
         gone = [c for c in changes if c.tokens == 0 and c not in advertised]
-        self._work.apply_cache(engine, (*gone, *advertised), anew=anew)
+        self._work.apply_cache(engine, (*gone, *advertised), reset=reset)
 
     def _is_relevant(
         self,
@@ -85,4 +85,4 @@
         """Takes what a peer saw of an engine."""
         known = self._endpoints.find(engine)
         if known is not None:
-            self._work.apply_cache(known, changes, anew=False)
+            self._work.apply_cache(known, changes, reset=False)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
@@ -87,7 +87,7 @@
             timers: The timer service.
             engines: Returns the engines that this daemon is to follow.
             read: Returns an engine's changes from a number on.
-            apply: Takes an engine, its changes, and `anew`.
+            apply: Takes an engine, its changes, and `reset`.
             on_broken: Called with the reason where an invariant is broken.
         """
         self._timers = timers
@@ -154,10 +154,10 @@
         if restarted and place.next > 0:
             # The numbers of the former life say nothing here.
             place.epoch, place.next, place.due = found.epoch, 0, 0.0
-            self._apply(engine, (), anew=True)
+            self._apply(engine, (), reset=True)
             return
         # What was dropped before the first read was seen by whoever followed
         # the engine before.
-        anew = found.lost and place.epoch is not None
+        reset = found.lost and place.epoch is not None
         place.epoch, place.next = found.epoch, found.end
-        self._apply(engine, found.changes, anew=anew)
+        self._apply(engine, found.changes, reset=reset)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
@@ -72,7 +72,7 @@
         if prompt.shared_tokens >= traits.long_tokens:
             for holder in await self._index.query_holders(prompt.anchor.id):
                 self._work.take_holder(holder, request.service)
-        engines = self._planner(request.service).reading_candidates(
+        engines = self._planner(request.service).prefill_candidates(
             self._plan_input(request, traits)
         )
         request.waits_s = await self._index.query_waits(
@@ -102,7 +102,7 @@
             )
         request.plan = self._planner(request.service).plan(
             self._plan_input(request, traits),
-            may_hand_over=request.history.arrivals == 0,
+            allow_handover=request.history.arrivals == 0,
         )
         if request.plan is None:
             return None
@@ -133,28 +133,28 @@
         traits = self._work.traits(request.service)
         if traits is None or request.info.prompt is None:
             return None
-        return self._planner(request.service).receiver(
+        return self._planner(request.service).choose_decoder(
             self._plan_input(request, traits)
         )
 
     def _plan_input(
         self, request: inflight.InFlight, traits: routing.EngineTraits
-    ) -> placementplan.PlanInput:
+    ) -> placementplan.PlanRequest:
         """Returns all that the planner has to know of a request."""
         now = self._timers.now
         route = request.route
-        return placementplan.PlanInput(
+        return placementplan.PlanRequest(
             prompt=request.info.prompt,
             engines=self._eligible_engines(request, now),
             traits=traits,
-            needs=plancost.Needs(
+            latency_targets=plancost.LatencyTargets(
                 target_s=route.target_s,
                 gap_s=route.gap_s,
                 least_gap_s=self._table().limits(request.service).least_gap_s,
             ),
             now=now,
             urgency=route.urgency,
-            known_s=request.waits_s,
+            reported_wait_s=request.waits_s,
         )
 
     def _eligible_engines(
@@ -277,7 +277,7 @@
         return [
             engine
             for engine in usable
-            if engine in sound or fleet.peers_stream_at(engine, now)
+            if engine in sound or fleet.has_peer_streams(engine, now)
         ]
 
     def note_stage_change(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -12,9 +12,9 @@
 from bulrushgrade import enginefleet
 from bulrushgrade import engineload
 from bulrushgrade import peerloads
+from bulrushgrade import prefilltimes
 from bulrushgrade import prefixindex
 from bulrushgrade import prompt as prompt_module
-from bulrushgrade import readtimes
 from bulrushgrade import routing
 from bulrushgrade import streamload
 from bulrushgrade_daemon import inflight
@@ -81,7 +81,7 @@
         """Returns what is known of a service's engines."""
         fleet = self._fleets.get(service)
         if fleet is None:
-            fleet = enginefleet.EngineFleet(others=self._others)
+            fleet = enginefleet.EngineFleet(peers=self._others)
             self._fleets[service] = fleet
         return fleet
 
@@ -110,9 +110,9 @@
         if traits is None:
             return False
         fleet, now = self.fleet(engine.service), self._timers.now
-        pause_s = fleet.generation(engine, traits, now).pause_s
+        pause_s = fleet.estimate_decode_load(engine, traits, now).pause_s
         streams = fleet.load(engine, traits).streams
-        return streams.is_live(now, within_s=LIVE_PAUSES * pause_s)
+        return streams.has_recent_event(now, within_s=LIVE_PAUSES * pause_s)
 
     def describe(
         self, engine: directory_module.Registration
@@ -122,7 +122,7 @@
         if traits is None:
             return {}
         fleet = self.fleet(engine.service)
-        there = fleet.generation(engine, traits, self._timers.now)
+        there = fleet.estimate_decode_load(engine, traits, self._timers.now)
         return {
             "streams": there.streams,
             "tokens": there.tokens,
@@ -159,13 +159,13 @@
         engine: directory_module.Registration,
         changes: tuple[enginecache.CacheChange, ...],
         *,
-        anew: bool,
+        reset: bool,
     ) -> None:
         """Takes what an engine says of its cache."""
         traits = self.traits(engine.service)
         if traits is not None:
             load = self.fleet(engine.service).load(engine, traits)
-            load.cache.apply(changes, anew=anew)
+            load.cache.apply(changes, reset=reset)
 
     def begin_stream(
         self,
@@ -187,18 +187,20 @@
 
         def note_events(count: int) -> None:
             now = self._timers.now
-            if lets_others_first and stream.event_at is None:
+            if lets_others_first and stream.last_event_at is None:
                 streams.begin(stream)
             pause_s = streams.note_events(
                 stream, count, event_tokens=traits.event_tokens, now=now
             )
             if pause_s is not None:
-                fleet.note_pause(engine, traits, pause_s, now)
+                fleet.observe_pause(engine, traits, pause_s, now)
 
         def ended() -> None:
             streams.end(stream)
-            if stream.made_tokens:
-                fleet.note_stream(stream.made_tokens // traits.event_tokens)
+            if stream.generated_tokens:
+                fleet.observe_stream(
+                    stream.generated_tokens // traits.event_tokens
+                )
 
         return StreamNotes(events=note_events, ended=ended)
 
@@ -235,7 +237,7 @@
             if began:
                 load.answered(reading, engine.stage, now)
                 if reading.tokens >= traits.long_tokens:
-                    fleet.note_read(plan, now - reading.since, now)
+                    fleet.observe_prefill(plan, now - reading.sent_at, now)
             else:
                 load.dropped(reading, now)
 
@@ -244,7 +246,7 @@
     def _report_begin(
         self,
         engine: directory_module.Registration,
-        reading: engineload.Reading,
+        reading: engineload.PendingPrefill,
         prompt: prompt_module.Prompt,
         traits: routing.EngineTraits,
     ) -> Callable[[bool], None]:
@@ -260,28 +262,30 @@
 
 def _make_reading(
     request: inflight.InFlight, now: float, *, reads: bool
-) -> engineload.Reading:
+) -> engineload.PendingPrefill:
     plan, prompt = request.plan, request.info.prompt
     urgency = request.urgency
     if not reads:
-        return engineload.Reading(
-            expected_s=plan.move_s,
-            since=now,
+        return engineload.PendingPrefill(
+            expected_s=plan.transfer_s,
+            sent_at=now,
             tokens=0,
-            latency_s=plan.take_over_s,
+            latency_s=plan.handover_s,
             urgency=urgency,
-            way=readtimes.Way.TAKEN_OVER,
+            mode=prefilltimes.PrefillMode.TAKEN_OVER,
         )
     is_apart = plan.prefill is not None
-    return engineload.Reading(
+    return engineload.PendingPrefill(
         expected_s=plan.busy_s,
-        since=now,
+        sent_at=now,
         tokens=plan.read_tokens,
         cached_tokens=prompt.prompt_tokens - plan.read_tokens,
         wait_s=plan.wait_s,
         latency_s=plan.latency_s,
         urgency=urgency,
-        fetch_s=plan.busy_s - plan.read_s,
-        way=readtimes.Way.APART if is_apart else readtimes.Way.IN_PLACE,
+        fetch_s=plan.busy_s - plan.prefill_s,
+        mode=prefilltimes.PrefillMode.DISAGGREGATED
+        if is_apart
+        else prefilltimes.PrefillMode.IN_PLACE,
         parts=prompt.shared_parts,
     )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -117,7 +117,7 @@
             "urgency": self.urgency,
             "read_tokens": self.plan.read_tokens,
             "wait_s": round(self.plan.wait_s, 3),
-            "first_event_s": round(self.plan.first_s, 3),
+            "first_event_s": round(self.plan.first_event_s, 3),
             "delay_s": round(self.plan.delay_s, 3),
             "wait_known": reader.id in self.waits_s,
         }
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
@@ -220,7 +220,7 @@
         period_s = self._period_s()
         silent_s = max(LEAST_SILENT_S, SILENT_PERIODS * period_s)
         self._loads.stale_s = max(
-            peerloads.LEAST_STALE_S, SILENT_PERIODS * period_s
+            peerloads.MIN_STALE_S, SILENT_PERIODS * period_s
         )
         self._forget(now, silent_s)
         own = self._read_own()
@@ -229,7 +229,7 @@
             self._send_load(own)
         else:
             self._sum_at = now
-            self._loads.drop_fleet()
+            self._loads.clear_fleet()
             self._send_sums(own, now)
             if now - self._adds_up_since >= silent_s:
                 kept = {self._own_name, *self._groups.names}
@@ -267,7 +267,7 @@
     # Who adds up.
 
     def _choose_aggregator(self, now: float, silent_s: float) -> None:
-        silent = self._choice.give_up_silent(now, silent_s)
+        silent = self._choice.drop_silent(now, silent_s)
         for name in self._fleet.there:
             if fleetmembers.host_of(name) == silent:
                 self._members.exclude(name, now + aggregatorchoice.AVOID_S)
@@ -290,7 +290,7 @@
     # What is sent.
 
     def _send_load(self, own: peerloads.Shares) -> None:
-        self._loads.note_own(self._number, own)
+        self._loads.record_own(self._number, own)
         message = self._messages.make_load(self._number, own)
         self._link.send_datagram(
             [self._choice.chosen], gatewaymessages.serialize(message)
@@ -306,7 +306,7 @@
         if not members:
             self._changes.drop_inward()
             return
-        fleet = peerloads.add_up([group, *self._loads.other_groups(now)])
+        fleet = peerloads.sum_shares([group, *self._loads.other_groups(now)])
         self._send_fleet(members, fleet)
         self._send_list(members)
 
@@ -345,7 +345,7 @@
         if not self._hear(name, message.may_order):
             return
         shares = loadcodec.decode_shares(message.engines)
-        if not self._loads.take_member(name, message.number, shares, now):
+        if not self._loads.update_member(name, message.number, shares, now):
             return
         self._changes.receive(message.kept, outward=True, inward=True)
         if is_new:
@@ -363,18 +363,22 @@
             )
         self._groups.hear(name, now)
         shares = loadcodec.decode_shares(message.engines)
-        if not self._loads.take_group(name, message.number, shares, now):
+        if not self._loads.update_group(name, message.number, shares, now):
             return
         self._changes.receive(message.kept, outward=False, inward=True)
 
     def _take_fleet(self, message: gatewaymessages.FleetLoad) -> None:
         now = self._timers.now
-        if not self._choice.hear(fleetmembers.host_of(message.peer), now):
+        if not self._choice.observe_sum(
+            fleetmembers.host_of(message.peer), now
+        ):
             return
         self._hear(message.peer, None)
         self._sum_at = now
         shares = loadcodec.decode_shares(message.engines)
-        self._loads.take_fleet(message.your_number, message.number, shares, now)
+        self._loads.update_fleet(
+            message.your_number, message.number, shares, now
+        )
         self._changes.receive(message.kept, outward=False, inward=False)
 
     def _take_list(self, message: gatewaymessages.GroupMembers) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
@@ -14,9 +14,9 @@
 
 from bulrushgrade import engineload
 from bulrushgrade import enginequeue
+from bulrushgrade import prefillqueue
 from bulrushgrade import prefixindex
 from bulrushgrade import prompt as prompt_module
-from bulrushgrade import readqueue
 from bulrushgrade_daemon import gatewaymessages
 from bulrushgrade_daemon import peerqueries
 
@@ -85,7 +85,7 @@
             case gatewaymessages.WaitReply() | gatewaymessages.HolderReply():
                 self._queries.take(message)
             case gatewaymessages.Begun(peer, number, engine):
-                entry = readqueue.Entry(
+                entry = prefillqueue.Entry(
                     seconds=message.reading_ms / 1000,
                     latency_s=message.latency_ms / 1000,
                     urgency=message.urgency,
@@ -95,7 +95,7 @@
             case gatewaymessages.Ended(peer, number, engine):
                 self._queues.end(engine, (peer, number), now)
             case gatewaymessages.HolderUpdate(parts=parts) if parts:
-                self._parts.note(_read_holder(message), now)
+                self._parts.update(_read_holder(message), now)
 
     def dump(self) -> dict[str, Any]:
         """Returns how much this daemon owns."""
@@ -161,7 +161,7 @@
     def begin(
         self,
         engine: str,
-        reading: engineload.Reading,
+        reading: engineload.PendingPrefill,
         parts: tuple[prompt_module.PromptPart, ...] = (),
     ) -> Callable[[bool], None]:
         """Reports that a prompt is sent; returns what reports its end.
--- a/packages/bulrushgrade_daemon/tests/test_cachesharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachesharing.py
@@ -20,7 +20,7 @@
     def is_long_part(self, engine, tokens):
         return tokens >= LONG_TOKENS
 
-    def apply_cache(self, engine, changes, *, anew):
+    def apply_cache(self, engine, changes, *, reset):
         self.applied += [(c.part, c.tokens) for c in changes]
 
 
@@ -48,7 +48,7 @@
 
 def see(sharing, part, tokens):
     change = enginecache.CacheChange(part=part, tokens=tokens)
-    sharing.take_seen(ENGINE, (change,), anew=False)
+    sharing.take_seen(ENGINE, (change,), reset=False)
 
 
 def test_parts_that_come_and_go_are_advertised():
--- a/packages/bulrushgrade_daemon/tests/test_cachewatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachewatch.py
@@ -24,8 +24,8 @@
     read = fakes.Answers(*answers)
     applied = []
 
-    def apply(engine, changes, *, anew):
-        applied.append((engine.id, changes, anew))
+    def apply(engine, changes, *, reset):
+        applied.append((engine.id, changes, reset))
 
     engines = [ENGINE]
     watch = cachewatch.CacheWatch(
@@ -49,7 +49,7 @@
 def test_gap_makes_the_belief_void():
     reactor, _, applied, _ = make(found(), found(end=90, lost=True))
     reactor.pump([0.25] * 6)
-    assert [anew for _, _, anew in applied[:2]] == [False, True]
+    assert [reset for _, _, reset in applied[:2]] == [False, True]
 
 
 def test_first_read_does_not_void_what_another_daemon_told():
--- a/packages/bulrushgrade_daemon/tests/test_choosing.py
+++ b/packages/bulrushgrade_daemon/tests/test_choosing.py
@@ -158,7 +158,7 @@
     scene = Scene()
     scene.eject("d1", "d2")
     share = peerloads.EngineShare(streams=3, tokens=9_000)
-    scene.peers.take_group("h2", 1, {"d1": share}, scene.timers.now)
+    scene.peers.update_group("h2", 1, {"d1": share}, scene.timers.now)
     assert scene.seen() == ["p1", "p2", "d1"]
 
 
@@ -229,7 +229,7 @@
     scene = Scene()
     request = make_request(tokens=30_000, route=DRAFTS)
     scene.choose(request)
-    assert request.plan.first_s > DRAFTS.target_s
+    assert request.plan.first_event_s > DRAFTS.target_s
     assert request.urgency == routing.LEAST_URGENT
     assert request.describe_plan()["urgency"] == routing.LEAST_URGENT
     early = make_request(tokens=3_000, route=DRAFTS)
@@ -245,7 +245,7 @@
     scene = Scene()
     request = make_request(tokens=30_000, route=QUERIES)
     scene.choose(request)
-    assert request.plan.first_s > QUERIES.target_s
+    assert request.plan.first_event_s > QUERIES.target_s
     assert request.urgency == QUERIES.urgency
 
 
--- a/packages/bulrushgrade_daemon/tests/test_loadgossip.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadgossip.py
@@ -16,7 +16,7 @@
     one.own = {"e1": SHARE}
     reactor.pump([0.1] * 3)
     assert two.loads.at("e1", timers.now) == SHARE
-    assert one.loads.at("e1", timers.now) == peerloads.NOTHING
+    assert one.loads.at("e1", timers.now) == peerloads.EMPTY_SHARE
 
 
 def test_cut_off_peer_fades():
@@ -25,7 +25,7 @@
     reactor.pump([0.1] * 3)
     net.cut = True
     reactor.pump([0.1] * 20)
-    assert two.loads.at("e1", timers.now) == peerloads.NOTHING
+    assert two.loads.at("e1", timers.now) == peerloads.EMPTY_SHARE
 
 
 def test_one_daemon_follows_each_engine():
--- a/packages/bulrushgrade_daemon/tests/test_placementindex.py
+++ b/packages/bulrushgrade_daemon/tests/test_placementindex.py
@@ -13,7 +13,9 @@
 
 
 def make_reading(expected_s):
-    return engineload.Reading(expected_s=expected_s, since=0.0, tokens=9_000)
+    return engineload.PendingPrefill(
+        expected_s=expected_s, sent_at=0.0, tokens=9_000
+    )
 
 
 class Fleet:
