--- a/packages/bulrushgrade/bulrushgrade/acceptance.py
+++ b/packages/bulrushgrade/bulrushgrade/acceptance.py
@@ -1,9 +1,9 @@
-"""Whether a publish is accepted: one pure function of the fold's state.
+"""Decides whether a publish is accepted, as a pure function of the state.
 
-Every daemon judges every publish by itself, so nothing here may depend on the
-host, the time or the release. Rules are numbered; a publish names the number
-that it is to be judged by, and the fleet's document says up to which number
-the daemons have been upgraded.
+Every daemon evaluates every publish on its own, so the result must not depend
+on the host, the time or the release. Validation rules are numbered: a publish
+names the number to validate it by, and the fleet document states the highest
+number that every daemon supports.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class RuleSet:
-    """The rules of one number: how texts are read and checked."""
+    """Parsers that implement one numbered version of the validation rules."""
 
     parse_service: Callable[
         ..., Result[document.ServiceDocument, tuple[errors.DocumentError, ...]]
@@ -41,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class Evaluation:
-    """A verdict, with the parsed document where the text could be read."""
+    """A verdict, with the parsed document if the publish was accepted."""
 
     verdict: publication.Verdict
     parsed: document.ServiceDocument | fleet.FleetDocument | None = None
@@ -49,15 +49,18 @@
 
 @attrs.define(kw_only=True)
 class AcceptedState:
-    """What a publish is judged against; `catalog.Catalog` keeps it current.
+    """The accepted documents, against which the next publish is evaluated.
+
+    `catalog.Catalog` keeps it current.
 
     Attributes:
-        offsets: The accepted revision's offset by service.
-        documents: The accepted documents by service, without the fleet's.
+        offsets: Offsets of the accepted revisions by service, the fleet
+            document's included.
+        documents: The accepted service documents by service.
         fleet_document: The accepted fleet document.
-        guaranteed_fractions: Each document's guaranteed part of the fleet's
-            capacity.
-        rules: The rules that this release knows, by number.
+        guaranteed_fractions: Guaranteed fraction of the fleet's capacity by
+            service.
+        rules: The rule sets that this release supports, by number.
     """
 
     offsets: dict[str, int] = attrs.field(factory=dict)
@@ -79,8 +82,8 @@
 ) -> bool:
     """Whether the publishing team owns what it publishes.
 
-    The first fleet document has no predecessor that could name its keeper, so
-    whoever publishes first is taken.
+    Before the first fleet document no owner is known, so any team may publish
+    it.
     """
     if publish.service == document.FLEET:
         return (
@@ -96,7 +99,7 @@
 
 
 def parse_text(service: str, text: str, rules: RuleSet) -> Result:
-    """Reads the text published for a service, or for the fleet."""
+    """Parses the text published for a service or for the fleet."""
     if service == document.FLEET:
         return rules.parse_fleet(text, source=service)
     return rules.parse_service(text, source=service)
@@ -109,16 +112,17 @@
     offset: int,
     accepted_state: AcceptedState,
 ) -> Result[Evaluation, errors.UnsupportedRules]:
-    """Judges a publish.
+    """Evaluates a publish against the accepted documents.
 
     Args:
         publish: The publish.
-        record_id: Its record's id.
-        offset: Its record's offset.
-        accepted_state: The state before it.
+        record_id: The id of its record.
+        offset: The offset of its record.
+        accepted_state: The state before the publish.
 
     Returns:
-        The judgement, or that its rules are in force but unknown here.
+        The evaluation, or `UnsupportedRules` if the fleet allows the
+        publish's rules but this release does not support them.
     """
     parsed: document.ServiceDocument | fleet.FleetDocument | None = None
     refusal = _check_writer(publish, accepted_state) or _check_base(
@@ -127,9 +131,10 @@
     if refusal is None:
         rules = accepted_state.rules.get(publish.validation)
         if rules is None:
-            # Refusing would part this daemon from newer ones for good. It
-            # stops here instead and serves on what it has; an upgrade, which
-            # the raised `newest_format` had asked for, sets it going again.
+            # A refusal would make this daemon's state diverge permanently from
+            # that of newer daemons. It stops applying records here and keeps
+            # serving its current state until it is upgraded, which raising
+            # `newest_format` requires.
             return Failure(
                 errors.UnsupportedRules(
                     offset=offset, validation=publish.validation
@@ -203,8 +208,8 @@
 def _check_base(
     publish: publication.Publish, accepted_state: AcceptedState
 ) -> _Refusal | None:
-    # Two operators who edit the same revision would otherwise undo each other:
-    # the second to publish has not seen the first one's change.
+    # Optimistic concurrency check: if two operators edit the same revision, the
+    # second publish would overwrite the first one's change unseen.
     current = accepted_state.offsets.get(publish.service)
     if publish.base_offset == current:
         return None
@@ -220,10 +225,12 @@
     if isinstance(parsed, fleet.FleetDocument):
         return _check_fleet(parsed, accepted_state)
     if (parsed.service, parsed.team) != (publish.service, publish.team):
-        message = f"the text is {parsed.service}'s of {parsed.team}"
+        message = f"the document is for {parsed.service} of team {parsed.team}"
         return _Refusal(code="other_heading", message=message)
     if accepted_state.fleet_document is None:
-        raise errors.BrokenInvariantError("a service is owned without a fleet")
+        raise errors.BrokenInvariantError(
+            "service has an owner but no fleet document exists"
+        )
     capacity = accepted_state.fleet_document.capacity_token_s_per_s
     fraction = parsed.share.fraction_of(capacity)
     fractions = {
@@ -238,8 +245,8 @@
 ) -> _Refusal | None:
     dropped = sorted(set(accepted_state.documents) - set(parsed.owners))
     if dropped:
-        # Its document would stay in force with nobody able to change it.
-        message = f"has an accepted document: {', '.join(dropped)}"
+        # Their documents would stay in force, but no team could change them.
+        message = f"services have accepted documents: {', '.join(dropped)}"
         return _Refusal(code="service_in_use", message=message)
     if accepted_state.fleet_document is not None:
         newest = accepted_state.fleet_document.heading.newest_format
@@ -256,7 +263,7 @@
     documents: Mapping[str, document.ServiceDocument],
     capacity_token_s_per_s: float,
 ) -> dict[str, float]:
-    """Returns each document's guaranteed part of a capacity by service."""
+    """Returns the guaranteed fraction of a capacity by service."""
     return {
         name: service_document.share.fraction_of(capacity_token_s_per_s)
         for name, service_document in documents.items()
@@ -266,12 +273,12 @@
 def _check_shares(
     fractions: Mapping[str, float], capacity_token_s_per_s: float
 ) -> _Refusal | None:
-    # A guarantee that the fleet can't honour would be paid for by another
-    # team's requests at the next peak.
+    # If guarantees exceed the capacity, one team's guarantee takes capacity
+    # guaranteed to another at the next load peak.
     if fleet.fractions_fit(fractions.values()):
         return None
     message = (
-        "the guaranteed shares of all services come to more than the fleet's "
+        "the guaranteed shares of all services exceed the fleet's capacity of "
         f"{capacity_token_s_per_s:g} token-seconds per second"
     )
     return _Refusal(code="shares_do_not_fit", message=message)
--- a/packages/bulrushgrade/bulrushgrade/catalog.py
+++ b/packages/bulrushgrade/bulrushgrade/catalog.py
@@ -1,7 +1,7 @@
-"""The state that the fold of documents keeps, with its indexes.
+"""The registry's state, with derived indexes.
 
-`publication.ServiceState` is the whole truth a service; parsed documents,
-digests and the index of record ids are derived from it.
+`publication.ServiceState` is the authoritative state of each service. Parsed
+documents, digests and the index by record id are derived from it.
 """
 
 from collections.abc import Iterable
@@ -30,7 +30,7 @@
 
     @property
     def accepted_state(self) -> acceptance.AcceptedState:
-        """What the next publish is judged against."""
+        """The accepted documents that the next publish is evaluated against."""
         return self._accepted_state
 
     @property
@@ -44,12 +44,12 @@
         return publication.digest_states(self._digests.values())
 
     def state(self, service: str) -> publication.ServiceState:
-        """Returns a service's state, an empty one where nothing is known."""
+        """Returns a service's state, or an empty one if it is unknown."""
         empty = publication.ServiceState(service=service)
         return self._states.get(service, empty)
 
     def verdict(self, record_id: str) -> publication.Verdict | None:
-        """Returns the verdict on a record id that is still remembered."""
+        """Returns the verdict on a record id, or None if none is retained."""
         return self._verdicts.get(record_id)
 
     def add_evaluation(
@@ -78,7 +78,7 @@
     def replace(
         self, states: Iterable[publication.ServiceState]
     ) -> Result[None, errors.BadSnapshot]:
-        """Takes over other states as a whole, or none of them."""
+        """Replaces all states atomically; on failure nothing changes."""
         accepted_state = acceptance.AcceptedState(
             rules=self._accepted_state.rules
         )
@@ -96,7 +96,7 @@
             candidate._set_document(state.service, offset, read.unwrap())
         regressed = self._find_regressed(candidate)
         if regressed:
-            reason = f"would go back behind accepted revisions of {regressed}"
+            reason = f"snapshot has older accepted revisions of {regressed}"
             return Failure(errors.BadSnapshot(reason=reason))
         self._accepted_state, self._states = (
             candidate._accepted_state,
@@ -110,8 +110,9 @@
     ) -> Result[
         document.ServiceDocument | fleet.FleetDocument, errors.BadSnapshot
     ]:
-        # A serving daemon that is a few records behind hears a snapshot now
-        # and then; parsing every document anew would hold up its requests.
+        # A serving daemon that is a few records behind may receive a snapshot.
+        # Reparsing every document would delay its requests, so unchanged ones
+        # are reused.
         if self.state(service).accepted != revision:
             return _parse_revision(
                 service, revision, self._accepted_state.rules
@@ -144,7 +145,8 @@
         accepted_state.guaranteed_fractions = acceptance.compute_fractions(
             accepted_state.documents, parsed.capacity_token_s_per_s
         )
-        # Names that came and went without a document would pile up.
+        # Drops services that left the fleet without ever having an accepted
+        # document; otherwise their states would accumulate.
         kept = {*parsed.owners, document.FLEET, publication.UNOWNED}
         for state in self.states:
             if state.service not in kept and state.accepted is None:
@@ -154,8 +156,8 @@
                     del self._verdicts[verdict.record_id]
 
     def _find_regressed(self, other: "Catalog") -> str:
-        # What was once accepted stays, or a later revision takes its place. A
-        # state that says otherwise comes from a fold that went wrong.
+        # An accepted revision can only be replaced by a later one. A state that
+        # lacks it or has an older one was computed incorrectly.
         other_offsets = other.accepted_state.offsets
         names = [
             name
--- a/packages/bulrushgrade/bulrushgrade/checkpoint.py
+++ b/packages/bulrushgrade/bulrushgrade/checkpoint.py
@@ -1,12 +1,13 @@
-"""Checkpoints of the stream ``documents``: their parts, and when one is due.
+"""Checkpoints of the stream ``documents``: serialization and scheduling.
 
-The log trims old records. A checkpoint is a snapshot of the fold appended
-anew, so that a reader who starts at the oldest record left finds a state to
-start from. It goes in parts, since a log service limits a record's size.
+The log trims old records. A checkpoint is a snapshot of the registry that is
+appended to the stream, so that a reader that starts at the oldest retained
+record finds a state to start from. It is split into parts because log services
+limit the size of a record.
 
-Every daemon could append one and none is set aside to do it. `Schedule` has
-them take turns by rendezvous order, each waiting for the earlier ones'
-checkpoint to show up in the stream before it appends its own.
+Any daemon can append a checkpoint; none is dedicated to it. `Schedule` orders
+the daemons by rendezvous hashing. Each waits for those before it and appends
+only if their checkpoint has not appeared in the stream by then.
 """
 
 from collections.abc import Iterable
@@ -21,35 +22,37 @@
 from bulrushgrade import publication
 from bulrushgrade import subset
 
-# Bytes of states in one part. Well below the request limits that HTTP services
-# commonly set (1 MB), escapes included.
+# Bytes of states in one part. With JSON escapes it stays well below the request
+# size limit that HTTP services commonly set (1 MB).
 PART_BYTES = 256 * 1024
 
-# Checkpoints whose parts are collected at a time. An appender that died
-# midway leaves one incomplete for good; more than a few at once means that
-# hosts die as fast as they append.
+# Incomplete checkpoints whose parts are held at a time. A daemon that crashes
+# while it appends leaves one that is never completed; more than a few at once
+# means that hosts crash as fast as they append.
 MAX_INCOMPLETE = 4
 
-# A third of the retention: the first attempt and two more may fail before the
-# last checkpoint is trimmed.
+# Age at which a checkpoint is renewed, as a fraction of the log's retention.
+# With a third, the first attempt and two more may fail before the last
+# checkpoint is trimmed.
 RENEWAL_FRACTION = 1 / 3
 
-# Records that a starting daemon may have to fold after a checkpoint. At some
-# 0.1 ms a fold step this is a tenth of a second; a page or two of reads.
+# Records that a starting daemon may have to apply after a checkpoint. At about
+# 0.1 ms per record this takes a tenth of a second, and one or two pages of
+# reads.
 MAX_RECORDS_BEHIND = 1000
 
-# Between two daemons' turns: an append, and the time until the next in turn
-# has read it, also while the log is slow.
+# Seconds between the turns of two daemons. It covers an append and the time
+# until the next daemon has read it, even if the log is slow.
 TURN_INTERVAL_S = 5.0
 
-# A daemon that starts does not know how old the last checkpoint is. Peers
-# that do are heard within this time; without it a rolling restart would
-# append a checkpoint a host.
+# Seconds that a starting daemon, which doesn't know the age of the last
+# checkpoint, waits to learn it from its peers. Without the wait a rolling
+# restart would append one checkpoint per host.
 STARTUP_GRACE_S = 15.0
 
-# Two checkpoints of one daemon are this far apart at least, whatever it
-# sees: at a few MB each, a daemon that can't read its own would else fill the
-# log that all depend on.
+# Minimum seconds between two checkpoints by the same daemon. Checkpoints have a
+# few MB each; without the limit a daemon that can't read its own checkpoints
+# would fill the shared log.
 MIN_APPEND_INTERVAL_S = 60.0
 
 
@@ -59,13 +62,13 @@
     checkpoint_id: str,
     part_bytes: int = PART_BYTES,
 ) -> tuple[bytes, ...]:
-    """Returns the bodies of the records that hold a snapshot.
+    """Serializes a snapshot into the bodies of checkpoint records.
 
     Args:
-        snapshot: The state to write.
-        checkpoint_id: A unique id; the parts find each other by it.
-        part_bytes: How many bytes of states go into a part; a single larger
-            state has a part of its own.
+        snapshot: The state to serialize.
+        checkpoint_id: A unique id that links the parts.
+        part_bytes: Maximum bytes of states per part; a single larger state
+            gets a part of its own.
     """
     groups: list[list[publication.ServiceState]] = [[]]
     size = 0
@@ -94,10 +97,12 @@
 def check_snapshot(
     snapshot: publication.Snapshot,
 ) -> Result[publication.Snapshot, errors.BadSnapshot]:
-    """Returns a snapshot whose digest and order are right, or what is wrong."""
+    """Checks that a snapshot's states are sorted and match its digest."""
     names = [state.service for state in snapshot.states]
     if names != sorted(set(names)):
-        return Failure(errors.BadSnapshot(reason="states out of order"))
+        return Failure(
+            errors.BadSnapshot(reason="states are not sorted by service")
+        )
     digest = publication.digest_states(
         publication.digest_state(state) for state in snapshot.states
     )
@@ -111,9 +116,9 @@
     """A checkpoint of which every part has been read.
 
     Attributes:
-        first_offset: The offset of the earliest of its parts.
-        snapshot: What it holds. Once the log has trimmed the record at its
-            `next_offset`, a new reader can't use it.
+        first_offset: The offset of its earliest part.
+        snapshot: The state in the checkpoint. A new reader can't use it once
+            the log has trimmed the record at the snapshot's `next_offset`.
     """
 
     first_offset: int
@@ -121,7 +126,7 @@
 
 
 class Collector:
-    """Puts checkpoints together from parts that other records stand between."""
+    """Assembles checkpoints from parts interleaved with other records."""
 
     def __init__(self):
         self._parts: dict[str, dict[int, publication.Checkpoint]] = {}
@@ -130,7 +135,7 @@
     def add(
         self, part: publication.Checkpoint, *, offset: int
     ) -> Collected | None:
-        """Takes a part; returns the checkpoint that it completes, if any."""
+        """Adds a part and returns the checkpoint that it completes, if any."""
         key = part.checkpoint_id
         if key not in self._parts and len(self._parts) >= MAX_INCOMPLETE:
             oldest = next(iter(self._parts))
@@ -147,7 +152,7 @@
         )
 
     def clear(self) -> None:
-        """Forgets every part."""
+        """Drops all parts."""
         self._parts.clear()
         self._first.clear()
 
@@ -164,19 +169,19 @@
 
 
 class Schedule:
-    """Says when this daemon should append a checkpoint.
+    """Decides when this daemon appends a checkpoint.
 
-    Times are seconds of this host's own monotonic clock; ages, not times, are
-    what hosts tell each other.
+    Times are seconds on this host's monotonic clock. Hosts exchange ages
+    instead of times, because their clocks are not comparable.
     """
 
     def __init__(self, *, address: str, retention_s: float, now: float):
-        """Makes the schedule of a daemon that has just started.
+        """Creates the schedule of a daemon that has just started.
 
         Args:
-            address: This daemon's address, as the host list has it.
-            retention_s: How long the log keeps a record.
-            now: The present time.
+            address: This daemon's address in the host list.
+            retention_s: Seconds that the log retains a record.
+            now: The current time.
         """
         self._address = address
         self._retention_s = retention_s
@@ -189,13 +194,13 @@
     def observe_checkpoint(
         self, complete: Collected, *, now: float, fresh: bool
     ) -> None:
-        """Takes a checkpoint that was read.
+        """Processes a checkpoint read from the stream.
 
         Args:
             complete: The checkpoint.
-            now: The present time.
-            fresh: Whether this daemon had read the whole stream before, so
-                that the checkpoint is new; else its age is unknown.
+            now: The current time.
+            fresh: Whether this daemon had read the stream to its end before,
+                so that the checkpoint is new; otherwise its age is unknown.
         """
         if self._last and complete.first_offset <= self._last.first_offset:
             return
@@ -204,7 +209,7 @@
         self._due_since = None
 
     def report_age(self, now: float) -> publication.CheckpointAge | None:
-        """Returns what to tell peers, None where the age is unknown."""
+        """Returns the checkpoint's age for peers, or None if it is unknown."""
         if self._last is None or self._last_seen_at is None:
             return None
         return publication.CheckpointAge(
@@ -216,11 +221,12 @@
     def observe_peer_age(
         self, reported: publication.CheckpointAge, *, now: float
     ) -> None:
-        """Takes a peer's word for a checkpoint and its age at least.
+        """Processes a peer's report of a checkpoint and its minimum age.
 
         A daemon that starts from a peer's snapshot never reads the checkpoint
-        itself. A wrong word makes one late at worst until the log has trimmed
-        what it has, which is due at once.
+        itself. A wrong report can delay the next checkpoint at most until the
+        log has trimmed the records that the last one needs; then one is due at
+        once.
         """
         last = -1 if self._last is None else self._last.first_offset
         if reported.first_offset < last:
@@ -237,7 +243,7 @@
         self._last_seen_at = min(known, now - reported.age_s)
 
     def record_append(self, now: float) -> None:
-        """Notes that this daemon sends a checkpoint now."""
+        """Records that this daemon appends a checkpoint now."""
         self._appended_at = now
 
     def find_due_reason(
@@ -248,15 +254,16 @@
         next_offset: int,
         earliest_offset: int,
     ) -> str | None:
-        """Returns why to append a checkpoint now, or None.
+        """Returns the reason to append a checkpoint now, or None.
 
-        Only asked while the fold is ready and the log answers.
+        It must only be called while the registry is ready and the log is
+        reachable.
 
         Args:
-            now: The present time.
-            hosts: Addresses of the live daemons, which may lag.
-            next_offset: How far this daemon's fold has come.
-            earliest_offset: The oldest record that the log has.
+            now: The current time.
+            hosts: Addresses of the live daemons; the list may be outdated.
+            next_offset: Offset up to which this daemon has applied records.
+            earliest_offset: Offset of the oldest record in the log.
         """
         reason = self._find_renewal_reason(now, next_offset, earliest_offset)
         if reason is None:
@@ -281,8 +288,8 @@
         in_grace = now < self._started_at + STARTUP_GRACE_S
         if self._last is None:
             return None if in_grace else "no checkpoint is known"
-        # The state goes up to next_offset, and its parts come later: a reader
-        # needs every record in between as well.
+        # The checkpoint's parts are stored after its `next_offset`. A reader
+        # also needs every record in between.
         if earliest_offset > self._last.snapshot.next_offset:
             return "the log has trimmed what the checkpoint needs"
         if next_offset - self._last.snapshot.next_offset > MAX_RECORDS_BEHIND:
@@ -295,12 +302,12 @@
 
 
 def find_turn(address: str, hosts: Iterable[str], last_offset: int) -> int:
-    """Returns a daemon's place in the order of turns, 0 first.
+    """Returns a daemon's position in the order of turns, from 0.
 
-    The order is by a hash with the last checkpoint's offset (rendezvous
-    hashing), so that the work goes round, and a dead host that the list still
-    has delays one checkpoint by a turn and not each. Hosts that see different
-    lists may come to the same turn; two checkpoints do no harm.
+    The order is a rendezvous hash that includes the last checkpoint's offset.
+    The work therefore rotates, and a dead host that is still listed does not
+    delay every checkpoint. Hosts with different lists may get the same turn;
+    two checkpoints are harmless.
     """
     key = f"checkpoint {last_offset}"
     own = (subset.weigh(key, address), address)
--- a/packages/bulrushgrade/bulrushgrade/codec.py
+++ b/packages/bulrushgrade/bulrushgrade/codec.py
@@ -1,8 +1,8 @@
-"""Typed messages to and from bytes.
+"""Serialization of typed messages.
 
-One codec knows a closed set of attrs classes. A message travels as a JSON
-object ``{"kind": CLASS_NAME, "data": {...}}``, so that a reader of an older
-release can tell a kind that it does not know from a damaged message.
+A codec supports a closed set of attrs classes. A message is serialized as a
+JSON object ``{"kind": CLASS_NAME, "data": {...}}``, so that an older release
+can distinguish a kind that it does not support from a malformed message.
 """
 
 from collections.abc import Iterable
@@ -24,13 +24,13 @@
         self._encoder = msgspec.json.Encoder()
 
     def serialize(self, message: Any) -> bytes:
-        """Returns the bytes of a message.
+        """Serializes a message to bytes.
 
         Args:
             message: An instance of one of the codec's kinds.
 
         Raises:
-            errors.BrokenInvariantError: The codec does not know the kind.
+            errors.BrokenInvariantError: The codec does not support the kind.
         """
         kind = type(message).__name__
         if kind not in self._kinds:
@@ -38,11 +38,11 @@
         return self._encoder.encode({"kind": kind, "data": message})
 
     def parse(self, raw: bytes) -> Result[Any, errors.BadRecord]:
-        """Returns the message in some bytes, or why there is none."""
+        """Parses a message, or returns why it is invalid."""
         try:
             envelope = msgspec.json.decode(raw)
-        # The bytes come from other processes: deep nesting or a kind that is
-        # no string must not stop whoever reads them.
+        # The bytes come from other processes, so malformed input such as deep
+        # nesting or a non-string kind must not raise in the reader.
         except (
             msgspec.DecodeError,
             UnicodeDecodeError,
--- a/packages/bulrushgrade/bulrushgrade/document.py
+++ b/packages/bulrushgrade/bulrushgrade/document.py
@@ -1,9 +1,9 @@
-"""Service documents: what one service asks of the shared fleet.
+"""Service documents: one service's configuration on the shared fleet.
 
-A team writes a document in INI and publishes it; every daemon parses it by
-the same rules and comes to the same verdict. `LATEST_VALIDATION` numbers the
-rules: a change to what is accepted takes a new number, and the old rules stay,
-since daemons of two releases fold the same stream.
+A team writes a document in INI and publishes it. Every daemon parses it by the
+same validation rules and reaches the same verdict. The rules are numbered: a
+change to what is accepted needs a new number, and the old rules must stay,
+since daemons of two releases process the same stream.
 """
 
 import attrs
@@ -15,18 +15,18 @@
 from bulrushgrade import ini
 from bulrushgrade import servicespec
 
-# The newest rules that this release knows, and the number that a document
-# gives as its format.
+# Number of the newest validation rules that this release supports; a document
+# states it as its format.
 LATEST_VALIDATION = 1
 
-# Published as if it were a service; no service may have this name.
+# Reserved service name under which the fleet document is published.
 FLEET = "fleet"
 
-# A document of today has about 1 kB. Every daemon holds every document, so a
-# longer one would be paid for by all hosts.
+# Typical documents have about 1 kB. Every daemon holds every document, so a
+# large one costs memory on all hosts.
 MAX_BYTES = 32 * 1024
 
-# One document may not make the search for a route or a class long.
+# Bounds the linear searches for a route and a deadline class.
 MAX_NAMED_SECTIONS = 64
 
 NAME = r"[a-z][a-z0-9-]{0,62}"
@@ -39,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceDocument:
-    """One service's document; sections are attributes, see their classes."""
+    """A parsed service document, with one attribute per kind of section."""
 
     heading: servicespec.Heading
     models: tuple[servicespec.ModelUse, ...] = ()
@@ -61,7 +61,7 @@
 
     @property
     def team(self) -> str:
-        """The owner's name."""
+        """The name of the team that owns the service."""
         return self.heading.team
 
     @property
@@ -71,8 +71,10 @@
 
 
 def _seconds(name: str, high: float, **options) -> ini.Key:
-    # A limit of nothing at all would refuse every request.
-    return ini.number_key(name, low=0.001, high=high, unit="of s", **options)
+    # A time limit of 0 would refuse every request.
+    return ini.number_key(
+        name, low=0.001, high=high, unit="in seconds", **options
+    )
 
 
 def _count(name: str, low: int, high: int, **options) -> ini.Key:
@@ -80,7 +82,7 @@
 
 
 def name_key(name: str, **options) -> ini.Key:
-    """Returns a key for the name of a service, team, zone or the like."""
+    """Returns a key for the name of a service, team, zone and so on."""
     return ini.text_key(name, pattern=NAME, expected=NAME_EXPECTED, **options)
 
 
@@ -123,7 +125,7 @@
         factory=servicespec.DeadlineClass,
         named=True,
         keys=(
-            # An hour bounds how long a planned stop can take.
+            # A planned stop waits for open requests, so an hour bounds it.
             _seconds("whole_answer_s", 3600.0),
             _seconds("first_token_s", 600.0, default=None),
             _seconds("between_tokens_s", 60.0, default=None),
@@ -164,7 +166,7 @@
             ini.text_key(
                 "path",
                 pattern=_PATH,
-                expected="/segment/*/..., with a last /** for the rest",
+                expected="/segment/*/..., optionally ending in /**",
             ),
             ini.boolean_key("repeatable"),
             ini.text_key(
@@ -182,8 +184,8 @@
         required=False,
         keys=(
             _count("max_attempts", 1, 5, default=3),
-            # Retries on top of full load are what keeps an overload going;
-            # half of the fresh traffic is the most that a fleet can stand.
+            # Retries on top of full load sustain an overload. A fleet tolerates
+            # retries of at most half of the fresh traffic.
             ini.number_key("budget_fraction", low=0, high=0.5, default=0.1),
         ),
     ),
@@ -211,11 +213,11 @@
 def parse_document(
     text: str, *, source: str
 ) -> Result[ServiceDocument, tuple[errors.DocumentError, ...]]:
-    """Reads a service document.
+    """Parses a service document.
 
     Args:
         text: The document in INI.
-        source: Where it came from, for the errors.
+        source: The text's origin, for error messages.
 
     Returns:
         The document, or every error in it.
@@ -242,7 +244,7 @@
 
 
 def serialize_document(document: ServiceDocument) -> str:
-    """Returns the INI text that `parse_document` reads back equal."""
+    """Returns the INI text that `parse_document` parses to an equal object."""
     return ini.serialize_sections(
         SCHEMA,
         {
@@ -265,7 +267,7 @@
             parsed.add_error(kind, "", f"{len(names)} sections", expected)
     heading = parsed.single("document")
     if heading is not None and heading.service == FLEET:
-        expected = "another name; this one stands for the fleet's document"
+        expected = "another name; this one is reserved for the fleet document"
         parsed.add_error("document", "service", "reserved name", expected)
 
 
@@ -275,7 +277,9 @@
         return
     uses_engines = heading.kind == "model"
     if uses_engines and not parsed.names["model"]:
-        parsed.add_error("model NAME", "", "missing", "a model service has one")
+        parsed.add_error(
+            "model NAME", "", "missing", "at least one for a model service"
+        )
     if not uses_engines and parsed.names.get("model"):
         header = f"model {parsed.names['model'][0]}"
         parsed.add_error(
@@ -287,7 +291,7 @@
     guarantee_count = sum(value is not None for value in guarantees)
     keys = "guaranteed_token_s_per_s or guaranteed_fraction"
     if uses_engines and guarantee_count != 1:
-        # A service without a guarantee could be starved by any borrower.
+        # Borrowers could starve a service without a guarantee.
         parsed.add_error(
             "share", keys, f"{guarantee_count} given", "exactly one"
         )
@@ -312,8 +316,8 @@
         return
     for deadline in classes[:-1]:
         if deadline.is_unconditional:
-            reason = "takes every request, so that none reaches later classes"
-            expected = "a condition, or its place at the end"
+            reason = "matches every request, so later classes are unreachable"
+            expected = "a condition, or the last position"
             parsed.add_error(f"deadline {deadline.name}", "", reason, expected)
     if classes and not classes[-1].is_unconditional:
         header = f"deadline {classes[-1].name}"
--- a/packages/bulrushgrade/bulrushgrade/errors.py
+++ b/packages/bulrushgrade/bulrushgrade/errors.py
@@ -1,7 +1,6 @@
 """Errors that the library and its users return as values.
 
-Each class is small and specific. Functions return them inside
-``returns.result.Failure``; nothing here is raised, except
+Functions return them inside ``returns.result.Failure``. None is raised except
 `BrokenInvariantError`, which stops the process.
 """
 
@@ -9,7 +8,7 @@
 
 
 class BrokenInvariantError(Exception):
-    """A state that the program's own logic rules out; stops the process."""
+    """A state that the program's logic rules out; it stops the process."""
 
 
 @attrs.frozen(kw_only=True)
@@ -17,7 +16,7 @@
     """A record or message that can't be decoded.
 
     Attributes:
-        reason: What was wrong, for a person.
+        reason: A human-readable description of the error.
     """
 
     reason: str
@@ -28,7 +27,7 @@
     """No service of this name is registered with the kernel.
 
     Attributes:
-        name: The name that was asked for.
+        name: The requested name.
     """
 
     name: str
@@ -36,7 +35,7 @@
 
 @attrs.frozen(kw_only=True)
 class DependencyCycle:
-    """Services that need each other, so that none can start first.
+    """Services whose dependencies form a cycle, so that none can start.
 
     Attributes:
         names: The services on the cycle, sorted.
@@ -47,14 +46,14 @@
 
 @attrs.frozen(kw_only=True)
 class SettingsError:
-    """One thing wrong in a daemon's settings file.
+    """One error in a daemon's settings file.
 
     Attributes:
-        file: The file's path as it was given.
-        section: The section, or empty where the file as a whole is at fault.
-        key: The key, or empty where a section is at fault.
-        reason: What was found.
-        expected: What would have been right.
+        file: The file's path as given.
+        section: The section, or empty if the error concerns the whole file.
+        key: The key, or empty if the error concerns a whole section.
+        reason: What is wrong.
+        expected: What would be valid.
     """
 
     file: str
@@ -66,10 +65,10 @@
 
 @attrs.frozen(kw_only=True)
 class BadHostList:
-    """An answer of the host list that can't be used.
+    """An invalid response from the host list service.
 
     Attributes:
-        reason: What was wrong, for a person.
+        reason: A human-readable description of the error.
     """
 
     reason: str
@@ -77,11 +76,11 @@
 
 @attrs.frozen(kw_only=True)
 class StaleHostList:
-    """A host list older than one that is already in force.
+    """A host list that is older than the current one.
 
     Attributes:
         version: The version of the older list.
-        current: The version in force.
+        current: The version of the current list.
     """
 
     version: int
@@ -90,11 +89,11 @@
 
 @attrs.frozen(kw_only=True)
 class StalePeerMessage:
-    """A peer's message that a newer one has overtaken.
+    """A peer's message that arrived after a newer one from the same peer.
 
     Attributes:
         sender: The peer.
-        sequence: The message's number.
+        sequence: The message's sequence number.
     """
 
     sender: str
@@ -103,14 +102,15 @@
 
 @attrs.frozen(kw_only=True)
 class DocumentError:
-    """One fault of a document, named so that its author can mend it.
+    """One error in a document, with what its author needs to fix it.
 
     Attributes:
-        source: The file or record that the text came from.
-        section: The section's header without brackets, or "" for the whole.
-        key: The key, or "" where the section itself is at fault.
+        source: The file or record that contains the text.
+        section: The section's header without brackets, or "" if the error
+            concerns the whole document.
+        key: The key, or "" if the error concerns the whole section.
         reason: What is wrong.
-        expected: What would be right.
+        expected: What would be valid.
     """
 
     source: str
@@ -130,7 +130,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyConflict:
-    """An idempotency key was used before for another request."""
+    """An idempotency key was already used for a different request."""
 
 
 @attrs.frozen(kw_only=True)
@@ -140,11 +140,11 @@
 
 @attrs.frozen(kw_only=True)
 class UnsupportedRules:
-    """A publish that this release has no rules for.
+    """A publish that needs validation rules this release does not support.
 
     Attributes:
-        offset: Where the fold stopped.
-        validation: The number of the rules that it would take.
+        offset: The offset of the publish, at which the registry stopped.
+        validation: The number of the rules that it needs.
     """
 
     offset: int
@@ -153,11 +153,11 @@
 
 @attrs.frozen(kw_only=True)
 class RegistryNotReady:
-    """Why a registry may not yet be served from.
+    """A registry whose state must not be served from yet.
 
     Attributes:
-        reason: For a person.
-        next_offset: Up to where the stream has been folded.
+        reason: A human-readable explanation.
+        next_offset: Offset up to which the stream has been applied.
     """
 
     reason: str
@@ -166,10 +166,10 @@
 
 @attrs.frozen(kw_only=True)
 class BadSnapshot:
-    """A snapshot or checkpoint that can't be taken over.
+    """A snapshot or checkpoint that can't be restored.
 
     Attributes:
-        reason: What was wrong, for a person.
+        reason: A human-readable description of the error.
     """
 
     reason: str
@@ -177,10 +177,10 @@
 
 @attrs.frozen(kw_only=True)
 class OrderRefused:
-    """An order can't be made now.
+    """An order can't be created now.
 
     Attributes:
-        reason: Why, for a person.
+        reason: A human-readable explanation.
     """
 
     reason: str
--- a/packages/bulrushgrade/bulrushgrade/fleet.py
+++ b/packages/bulrushgrade/bulrushgrade/fleet.py
@@ -1,8 +1,8 @@
-"""The fleet document: who shares which engines.
+"""The fleet document: teams, their services, and the engines they share.
 
-It travels on the same stream as the service documents, under the reserved
-service name `document.FLEET`, so that one order of offsets decides both which
-team owns a service and whether the guaranteed shares still fit.
+It is published on the same stream as the service documents, under the reserved
+service name `document.FLEET`. A single order of offsets therefore determines
+both which team owns a service and whether the guaranteed shares fit.
 """
 
 from collections.abc import Iterable
@@ -18,24 +18,26 @@
 from bulrushgrade import errors
 from bulrushgrade import ini
 
-# Some thousand services with a line each; see `document.MAX_BYTES`.
+# Room for several thousand services with one line each; see
+# `document.MAX_BYTES` for why size is limited.
 MAX_BYTES = 256 * 1024
 
-# Shares such as 0.1 + 0.2 + 0.7 come to a hair more than 1 in binary
-# fractions; no fleet is sized to a billionth.
+# Tolerance for floating-point error: fractions such as 0.1, 0.2 and 0.7 can add
+# up to slightly more than 1. No fleet is sized to a billionth.
 FRACTION_TOLERANCE = 1e-9
 
 
 @attrs.frozen(kw_only=True)
 class FleetHeading:
-    """Which fleet, and who may change its document.
+    """The section that identifies the fleet and the document's owner.
 
     Attributes:
-        format: Number of the rules that it is written for.
+        format: Number of the validation rules that the document follows.
         name: The fleet's name.
-        team: The team that keeps the fleet's document.
-        newest_format: The newest rules that documents may be published
-            under. It is raised after every daemon's release knows the rules.
+        team: The team that owns the fleet document.
+        newest_format: Number of the newest validation rules that documents may
+            be published under. It may only be raised once every daemon runs a
+            release that supports the rules.
     """
 
     format: int
@@ -46,7 +48,7 @@
 
 @attrs.frozen(kw_only=True)
 class Region:
-    """Availability zones that are near to each other."""
+    """A group of availability zones close to each other."""
 
     name: str
     zones: tuple[str, ...]
@@ -54,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class Team:
-    """A member team and the services that it owns."""
+    """A team and the services that it owns."""
 
     name: str
     services: tuple[str, ...] = ()
@@ -62,13 +64,13 @@
 
 @attrs.frozen(kw_only=True)
 class Engines:
-    """Like engines in one availability zone.
+    """Identical engines in one availability zone.
 
     Attributes:
-        name: A name for the set.
+        name: The name of this set of engines.
         zone: The availability zone.
-        count: How many engines.
-        token_s_per_s: What each can hold in work, in token-seconds a second.
+        count: The number of engines.
+        token_s_per_s: Capacity per engine in token-seconds per second.
     """
 
     name: str
@@ -79,7 +81,7 @@
 
 @attrs.frozen(kw_only=True)
 class FleetDocument:
-    """The fleet's document; sections are attributes, see their classes."""
+    """A parsed fleet document, with one attribute per kind of section."""
 
     heading: FleetHeading
     regions: tuple[Region, ...]
@@ -88,10 +90,10 @@
 
     @property
     def team(self) -> str:
-        """The team that keeps the document."""
+        """The team that owns the fleet document."""
         return self.heading.team
 
-    # Both are asked for at every publish.
+    # The two properties below are cached, as every publish needs them.
     @functools.cached_property
     def owners(self) -> dict[str, str]:
         """The owning team's name by service."""
@@ -103,7 +105,7 @@
 
     @functools.cached_property
     def capacity_token_s_per_s(self) -> float:
-        """What all engines can hold in work together."""
+        """The total capacity of all engines."""
         return math.fsum(e.count * e.token_s_per_s for e in self.engines)
 
 
@@ -157,11 +159,11 @@
 def parse_fleet(
     text: str, *, source: str
 ) -> Result[FleetDocument, tuple[errors.DocumentError, ...]]:
-    """Reads a fleet document.
+    """Parses a fleet document.
 
     Args:
         text: The document in INI.
-        source: Where it came from, for the errors.
+        source: The text's origin, for error messages.
 
     Returns:
         The document, or every error in it.
@@ -186,7 +188,7 @@
 
 
 def serialize_fleet(fleet: FleetDocument) -> str:
-    """Returns the INI text that `parse_fleet` reads back equal."""
+    """Returns the INI text that `parse_fleet` parses to an equal object."""
     return ini.serialize_sections(
         SCHEMA,
         {
@@ -199,10 +201,10 @@
 
 
 def fractions_fit(fractions: Iterable[float]) -> bool:
-    """Whether guaranteed parts of a capacity fit it together.
+    """Whether guaranteed fractions of a capacity add up to at most 1.
 
-    The sum is exact before it is rounded (`math.fsum`), so that the verdict
-    does not depend on the order in which a daemon came by the documents.
+    `math.fsum` rounds only once, so the result does not depend on the order in
+    which a daemon received the documents.
     """
     return math.fsum(fractions) <= 1.0 + FRACTION_TOLERANCE
 
@@ -220,7 +222,7 @@
         header = f"{kind} {instance.name}"
         for name in getattr(instance, key):
             if name in seen:
-                reason = f"{name!r} also stands under [{seen[name]}]"
+                reason = f"{name!r} is also listed in [{seen[name]}]"
                 parsed.add_error(header, key, reason, "each name once")
             if name == document.FLEET:
                 parsed.add_error(header, key, "reserved name", "another name")
--- a/packages/bulrushgrade/bulrushgrade/ini.py
+++ b/packages/bulrushgrade/bulrushgrade/ini.py
@@ -1,11 +1,11 @@
-"""Typed reading of INI text against a schema, naming every error.
+"""Parses INI text against a typed schema and reports every error.
 
-The standard library's parser stops at the first repeated key or broken line.
-An operator who mends one fault a round loses a round a fault, so the reader
-here notes the fault, takes the line out and reads on.
+The standard library's parser stops at the first duplicate key or malformed
+line. Fixing errors one at a time costs an operator one round per error, so this
+module records the error, removes the line and continues.
 
-The result must be the same on every daemon: no interpolation, no default
-section, ASCII digits only, and limits on size that don't depend on the host.
+The result must be identical on every daemon: no interpolation, no default
+section, ASCII digits only, and size limits that are independent of the host.
 """
 
 from collections.abc import Callable
@@ -19,18 +19,18 @@
 
 from bulrushgrade import errors
 
-# Marks a key that has no default.
+# Marks a key without a default.
 REQUIRED: Any = object()
 
-# An author reads some tens of faults at a time; a hostile text could name
-# thousands and would make each of them cost another pass over the text.
+# An author handles some tens of errors at a time. A malicious text could
+# contain thousands, each of which costs another pass over the text.
 MAX_ERRORS = 50
 
 _NUMBER = re.compile(r"[0-9]+(\.[0-9]+)?(e[+-]?[0-9]{1,3})?")
 _DUPLICATE = "duplicate section in line "
 
-# No header can hold a line break, so no text can open the parser's default
-# section, whose keys would show up in every other section.
+# Name of the parser's default section, whose keys would appear in every other
+# section. A header can't contain a line break, so no text can define it.
 _UNREACHABLE_DEFAULT = "\n"
 
 
@@ -39,11 +39,11 @@
     """One key of a section.
 
     Attributes:
-        name: The key, which is also the attribute that it sets.
-        convert: Returns the value of a text, or None where it has none.
-        expected: What the text has to be, for a person.
-        render: Returns the text of a value.
-        default: The value of an absent key, or `REQUIRED`.
+        name: The key, which is also the name of the attribute that it sets.
+        convert: Converts a text to a value, or to None if it is invalid.
+        expected: A description of valid texts, for error messages.
+        render: Converts a value to its text.
+        default: The value if the key is absent, or `REQUIRED`.
     """
 
     name: str
@@ -58,13 +58,14 @@
     """One kind of section.
 
     Attributes:
-        name: Its header, or the header's first word where `named`.
-        factory: Called with each key's value, and `name` where `named`.
-        keys: The keys that it may have.
-        named: Whether headers are ``[name NAME]`` and may stand repeatedly.
-        name_pattern: What the name in a header has to match.
-        required: Whether at least one has to be there. An absent section that
-            is not required has the defaults of its keys.
+        name: The header, or its first word if `named`.
+        factory: Called with the value of each key, and with `name` if `named`.
+        keys: The allowed keys.
+        named: Whether headers are ``[name NAME]`` and there may be several.
+        name_pattern: Pattern that the name in a header must match.
+        required: Whether at least one must be present. An optional section
+            that is absent has the defaults of its keys; if it is `named`,
+            there is none.
     """
 
     name: str
@@ -77,12 +78,13 @@
 
 @attrs.define(kw_only=True)
 class Parsed:
-    """What was read.
+    """The result of parsing a text.
 
     Attributes:
-        source: Where the text came from.
-        objects: What sections of a kind made; sections with a fault made none.
-        names: The names of all named sections of a kind, faulty ones too.
+        source: The text's origin, for error messages.
+        objects: Objects by kind of section; invalid sections have none.
+        names: Names in the headers by kind of section, invalid sections
+            included.
         found_errors: Every error found so far.
     """
 
@@ -92,14 +94,14 @@
     found_errors: list[errors.DocumentError] = attrs.field(factory=list)
 
     def single(self, kind: str) -> Any:
-        """Returns the object of a section that stands once, or None."""
+        """Returns the object of a section that occurs once, or None."""
         instances = self.objects.get(kind, ())
         return instances[0] if instances else None
 
     def add_error(
         self, section: str, key: str, reason: str, expected: str
     ) -> None:
-        """Notes an error."""
+        """Records an error."""
         self.found_errors.append(
             errors.DocumentError(
                 source=self.source,
@@ -119,7 +121,7 @@
 
 
 def text_key(name: str, *, pattern: str, expected: str, **options: Any) -> Key:
-    """Returns a key whose text has to match a pattern as a whole."""
+    """Returns a key whose whole text must match a pattern."""
     compiled = re.compile(pattern)
 
     def convert(text: str) -> str | None:
@@ -137,7 +139,7 @@
     unit: str = "",
     **options: Any,
 ) -> Key:
-    """Returns a key for a number within limits that belong to the range."""
+    """Returns a key for a number from `low` to `high`, both included."""
 
     def convert(text: str) -> float | int | None:
         if not _NUMBER.fullmatch(text) or (integer and not text.isdigit()):
@@ -153,7 +155,7 @@
 
 
 def boolean_key(name: str, **options: Any) -> Key:
-    """Returns a key for yes or no."""
+    """Returns a key for a Boolean, written as yes or no."""
     return Key(
         name=name,
         convert={"yes": True, "no": False}.get,
@@ -164,7 +166,7 @@
 
 
 def list_key(name: str, *, pattern: str, expected: str, **options: Any) -> Key:
-    """Returns a key for words between commas, none of them twice."""
+    """Returns a key for a list of unique words separated by commas."""
     compiled = re.compile(pattern)
 
     def convert(text: str) -> tuple[str, ...] | None:
@@ -176,7 +178,7 @@
     return Key(
         name=name,
         convert=convert,
-        expected=f"{expected}, between commas, each once",
+        expected=f"{expected}, separated by commas, each once",
         render=", ".join,
         **options,
     )
@@ -185,16 +187,16 @@
 def parse_sections(
     text: str, *, source: str, schema: Iterable[Section], max_bytes: int
 ) -> Parsed:
-    """Reads a text against a schema.
+    """Parses a text against a schema.
 
     Args:
         text: The INI text.
-        source: Where it came from, for the errors.
-        schema: The kinds of sections that may stand in it.
-        max_bytes: The longest text in UTF-8 that is read at all.
+        source: The text's origin, for error messages.
+        schema: The allowed kinds of sections.
+        max_bytes: Maximum size in UTF-8; a larger text is not parsed.
 
     Returns:
-        What was read, with every error.
+        The objects and every error.
     """
     parsed = Parsed(source=source)
     size = len(text.encode("utf-8", "surrogatepass"))
@@ -230,7 +232,7 @@
 def serialize_sections(
     schema: Iterable[Section], objects: dict[str, Iterable[Any]]
 ) -> str:
-    """Returns the INI text of objects, section kinds in the schema's order."""
+    """Returns the INI text of objects, in the schema's order of sections."""
     out = io.StringIO()
     for section in schema:
         for instance in objects.get(section.name, ()):
@@ -260,25 +262,27 @@
             return parser
         except configparser.DuplicateSectionError as error:
             parsed.add_error(
-                error.section, "", "stands twice", "each section once"
+                error.section, "", "duplicate section", "each section once"
             )
             lines[error.lineno - 1] = f"[{_DUPLICATE}{error.lineno}]"
         except configparser.DuplicateOptionError as error:
             parsed.add_error(
-                error.section, error.option, "stands twice", "each key once"
+                error.section, error.option, "duplicate key", "each key once"
             )
             lines[error.lineno - 1] = ""
         except configparser.MissingSectionHeaderError as error:
-            reason = f"line {error.lineno} stands before any section"
-            parsed.add_error("", "", reason, "[SECTION] first")
+            reason = f"line {error.lineno} is before any section"
+            parsed.add_error("", "", reason, "a [SECTION] header first")
             lines[error.lineno - 1] = ""
         except configparser.ParsingError as error:
             for number, line in error.errors:
-                reason = f"line {number} can't be read: {line.strip()}"
+                reason = f"line {number} can't be parsed: {line.strip()}"
                 parsed.add_error("", "", reason, "[SECTION] or KEY = VALUE")
                 lines[number - 1] = ""
         if len(parsed.found_errors) >= MAX_ERRORS:
-            parsed.add_error("", "", "too many errors to go on", "fewer errors")
+            parsed.add_error(
+                "", "", "too many errors to continue", "fewer errors"
+            )
             return configparser.RawConfigParser(
                 default_section=_UNREACHABLE_DEFAULT
             )
@@ -304,7 +308,7 @@
     for raw in found:
         before = len(parsed.found_errors)
         if section.named and not re.fullmatch(section.name_pattern, raw.name):
-            expected = f"a name that matches {section.name_pattern}"
+            expected = f"a name matching {section.name_pattern}"
             parsed.add_error(raw.header, "", f"bad name {raw.name!r}", expected)
         values = _read_keys(section, raw, parsed)
         if section.named:
--- a/packages/bulrushgrade/bulrushgrade/publication.py
+++ b/packages/bulrushgrade/bulrushgrade/publication.py
@@ -1,4 +1,4 @@
-"""Messages of the stream ``documents`` and the state that they add up to."""
+"""Messages of the stream ``documents`` and the state derived from them."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -14,37 +14,38 @@
 
 STREAM = "documents"
 
-# Verdicts kept a service. They settle publishes whose answer was lost and
-# make a late second copy of a record harmless, both a matter of minutes; a
-# service sees a few changes a day. At 670 services a full history stays below
-# a few MB of checkpoint.
+# Verdicts retained per service. They resolve publishes whose response was lost
+# and identify late duplicates of a record. Both happen within minutes, and a
+# service has a few changes a day. With 670 services, full histories add at most
+# a few MB to a checkpoint.
 MAX_VERDICTS = 32
 
-# Refused publishes by writers that do not own the service they name are kept
-# together, so that they can't push out an owner's verdicts.
+# Name under which verdicts on publishes by non-owners are kept together, so
+# that they can't evict an owner's verdicts.
 UNOWNED = ""
 MAX_UNOWNED_VERDICTS = 256
 
-# Names and ids stand in the state for long; a record with longer ones was not
-# written by our publishers.
+# Names and ids stay in the state for a long time, so they are bounded. The
+# project's own publishers never write longer ones.
 MAX_NAME_CHARS = 64
 MAX_RECORD_ID_CHARS = 128
 MAX_MESSAGE_CHARS = 400
 
-# More parts than any checkpoint of the target's size needs.
+# More parts than a checkpoint of the largest supported deployment needs.
 MAX_PARTS = 4096
 
 
 @attrs.frozen(kw_only=True)
 class Publish:
-    """A team asks that a document take the place of an accepted one.
+    """A team's request to replace a service's accepted document.
 
     Attributes:
         service: The service, or `document.FLEET`.
         team: The publishing team.
-        base_offset: Revision that the text was edited from, None for a first.
+        base_offset: Offset of the revision that the text was edited from, None
+            for a first publish.
         text: The document.
-        validation: Number of the rules to judge it by.
+        validation: Number of the rules to validate it by.
     """
 
     service: str
@@ -56,18 +57,19 @@
 
 @attrs.frozen(kw_only=True)
 class Verdict:
-    """What became of a publish; the same on every daemon.
+    """The result of a publish, identical on every daemon.
 
     Attributes:
         record_id: The publish's record id.
-        offset: Its offset; the revision's number where accepted.
-        service: The service that it names.
-        team: The team that it names.
-        base_offset: The revision that it was edited from.
-        code: ``accepted``, or a word for the reason.
-        message: The reason for a person. It may read differently in another
-            release, so it is no part of the digest.
-        beaten_by: The accepted revision that stands instead, if any.
+        offset: The publish's offset; if accepted, also the revision number.
+        service: The service that the publish names.
+        team: The team that the publish names.
+        base_offset: Offset of the revision that it was edited from.
+        code: ``accepted``, or an error code.
+        message: The human-readable reason. Its wording may differ between
+            releases, so it is not part of the digest.
+        beaten_by: Offset of the accepted revision if the publish was refused
+            for being based on another one, else None.
     """
 
     record_id: str
@@ -90,11 +92,11 @@
     """An accepted document.
 
     Attributes:
-        offset: Its publish's offset, which is the revision's number.
-        record_id: Its publish's record id.
+        offset: The publish's offset, which is the revision number.
+        record_id: The publish's record id.
         team: The team that published it.
         text: The document.
-        validation: Number of the rules that it was accepted by.
+        validation: Number of the rules that it was validated by.
     """
 
     offset: int
@@ -106,11 +108,11 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceState:
-    """What the fold knows of one service.
+    """The registry's state for one service.
 
     Attributes:
         service: The service, or `UNOWNED`.
-        accepted: The accepted revision, None while there is none.
+        accepted: The accepted revision, or None if there is none yet.
         verdicts: The newest verdicts, oldest first.
     """
 
@@ -121,12 +123,12 @@
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """The fold's whole state.
+    """The registry's complete state.
 
     Attributes:
-        next_offset: Every record before this offset is folded in.
-        digest: Of the states, by `digest_states`.
-        states: Sorted by service.
+        next_offset: Every record before this offset is applied.
+        digest: Digest of the states, as computed by `digest_states`.
+        states: The services' states, sorted by service.
     """
 
     next_offset: int
@@ -136,15 +138,17 @@
 
 @attrs.frozen(kw_only=True)
 class Checkpoint:
-    """A part of a snapshot on the log, which outlives the records before it.
+    """One part of a snapshot that is stored in the log.
+
+    It allows a reader to start after older records have been trimmed.
 
     Attributes:
-        checkpoint_id: The same for all parts.
+        checkpoint_id: Identifies the checkpoint; the same for all its parts.
         part: This part's number, from 0.
-        parts: How many there are.
-        next_offset: As in the snapshot.
-        digest: Of the whole snapshot's states.
-        states: This part's states.
+        parts: The number of parts.
+        next_offset: The snapshot's `next_offset`.
+        digest: Digest of the complete snapshot's states.
+        states: The states in this part.
     """
 
     checkpoint_id: str
@@ -157,12 +161,13 @@
 
 @attrs.frozen(kw_only=True)
 class CheckpointAge:
-    """What daemons tell each other of the last checkpoint.
+    """The age of the last checkpoint, exchanged between daemons.
 
     Attributes:
-        first_offset: The offset of its earliest part.
-        next_offset: Up to where its state goes.
-        age_s: Seconds since the teller read it as new, or more.
+        first_offset: The offset of the checkpoint's earliest part.
+        next_offset: The checkpoint's `next_offset`.
+        age_s: Seconds since the sender, or a peer that reported to it, first
+            read the checkpoint.
     """
 
     first_offset: int
@@ -176,10 +181,11 @@
 
 
 def parse_message(body: bytes) -> Result[Any, errors.BadRecord]:
-    """Returns the message in a record's body, within its limits.
+    """Parses a record's body and checks the size limits of its message.
 
-    A record that raised here would stop every daemon, and again at each
-    restart, until the log trims it; the stream is open to every team.
+    An exception here would crash every daemon, and again at each restart until
+    the record is trimmed. Every team can write to the stream, so malformed
+    input is returned as a failure.
     """
     try:
         read = CODEC.parse(body)
@@ -200,7 +206,7 @@
 
 
 def digest_state(state: ServiceState) -> int:
-    """Returns a digest of one service's state, without people's messages."""
+    """Returns a digest of one service's state, without verdict messages."""
     verdicts = [
         (v.record_id, v.offset, v.service, v.team, v.base_offset, v.code)
         for v in state.verdicts
@@ -211,9 +217,9 @@
 
 
 def digest_states(digests: Iterable[int]) -> str:
-    """Returns the digest of all states from those of each.
+    """Combines the digests of the services' states into one.
 
-    A sum has no order, so a fold can keep each service's digest and add up
-    what changed.
+    The sum is independent of order and cheap to recompute from cached digests
+    when one service changes.
     """
     return f"{sum(digests) % (1 << 128):032x}"
--- a/packages/bulrushgrade/bulrushgrade/registry.py
+++ b/packages/bulrushgrade/bulrushgrade/registry.py
@@ -1,9 +1,9 @@
-"""The accepted documents, folded from the stream ``documents``.
+"""The accepted documents, computed by replaying the stream ``documents``.
 
-Every daemon folds the same records in the order of their offsets and comes to
-the same state. Nothing else decides: no peer, no clock, no host. A registry
-that has lost the thread says so and keeps what it last accepted; it never
-guesses what trimmed records held.
+Every daemon applies the same records in offset order and reaches the same
+state, independent of peers, clock and host. A registry that misses trimmed
+records reports the gap and keeps its last accepted state; it never guesses
+what the trimmed records contained.
 """
 
 from collections.abc import Mapping
@@ -25,7 +25,7 @@
 
 
 class SkipReason(enum.Enum):
-    """Why a record was no new publish."""
+    """Why a record was not evaluated as a new publish."""
 
     STALE = "read before"
     AHEAD = "not the record that is to be read next"
@@ -41,12 +41,12 @@
 
 @attrs.frozen(kw_only=True)
 class Skipped:
-    """A record that was no new publish.
+    """A record that was not evaluated as a new publish.
 
     Attributes:
         offset: The record's offset.
-        reason: Why it was none.
-        detail: More for a person, or "".
+        reason: Why the record was skipped.
+        detail: Human-readable details, or "".
     """
 
     offset: int
@@ -58,20 +58,20 @@
 
 
 class Registry:
-    """Folds publishes into the accepted documents."""
+    """State machine that applies publishes to the accepted documents."""
 
     def __init__(
         self, *, rules: Mapping[int, acceptance.RuleSet] = acceptance.RULE_SETS
     ):
-        """Makes the registry of an empty stream.
+        """Creates the registry of an empty stream.
 
         Args:
-            rules: The validation rules that this release knows.
+            rules: The validation rules that this release supports.
         """
         self._catalog = catalog.Catalog(rules=rules)
         self._next_offset = 0
-        # Set while records before it are known to be missing; the reader then
-        # scans on for a checkpoint.
+        # Set while records before this offset are missing. The registry then
+        # scans forward from `_scan_offset` for a checkpoint.
         self._gap_end: int | None = None
         self._scan_offset = 0
         self._changed_offset = -1
@@ -82,19 +82,19 @@
 
     @property
     def next_offset(self) -> int:
-        """Every record before this offset is folded in."""
+        """Offset of the next record to apply; all earlier ones are applied."""
         return self._next_offset
 
     @property
     def read_offset(self) -> int:
-        """Where to read the stream next; after a restore it may go back."""
+        """Offset to read next; it may decrease after a checkpoint restore."""
         if self._gap_end is None:
             return self._next_offset
         return self._scan_offset
 
     @property
     def gap_end(self) -> int | None:
-        """The first offset after a gap, or None where nothing is missing."""
+        """First offset after missing records, or None if none are missing."""
         return self._gap_end
 
     @property
@@ -109,30 +109,31 @@
 
     @property
     def last_checkpoint(self) -> checkpoint.Collected | None:
-        """The newest whole checkpoint that was read, without its states."""
+        """The newest complete checkpoint read, without its states."""
         return self._last_checkpoint
 
     def accepted_revision(self, service: str) -> publication.Revision | None:
-        """Returns a service's accepted revision; `document.FLEET` counts."""
+        """Returns the accepted revision of a service or `document.FLEET`."""
         return self._catalog.state(service).accepted
 
     def history(self, service: str) -> tuple[publication.Verdict, ...]:
         """Returns the newest verdicts on a service's publishes, oldest first.
 
-        Publishes by teams that don't own it are under `publication.UNOWNED`.
+        Verdicts on publishes by teams that don't own the service they name are
+        kept under `publication.UNOWNED`.
         """
         return self._catalog.state(service).verdicts
 
     def find_verdict(self, record_id: str) -> publication.Verdict | None:
-        """Returns the verdict on a publish, None where none is known.
+        """Returns the verdict on a publish, or None if none is known.
 
-        None settles nothing by itself: the record may not have been folded
-        yet, may never reach the log, or may be older than the history.
+        None is inconclusive: the record may not have been applied yet, may
+        never reach the log, or may be older than the retained history.
         """
         return self._catalog.verdict(record_id)
 
     def digest(self) -> str:
-        """Returns the digest of the state, equal on folds of equal offsets."""
+        """Returns the state's digest, the same at equal `next_offset`."""
         return self._catalog.digest
 
     def readiness(
@@ -140,14 +141,16 @@
     ) -> Result[int, errors.RegistryNotReady]:
         """Whether a starting daemon may begin to serve from this state.
 
-        A daemon that has begun goes on while the log is away or ahead: what
-        it last accepted was right then, and refusing all callers helps none.
+        A daemon that is already serving continues while the log is unreachable
+        or ahead: its last accepted state was valid, and refusing all callers
+        would help nobody.
 
         Args:
             end_offset: The stream's end as last read, None before any read.
 
         Returns:
-            The offset up to which the stream is folded, or why not to begin.
+            The offset up to which the stream is applied, or why the daemon
+            must not start serving.
         """
         reason = self._find_not_ready_reason(end_offset)
         if not reason:
@@ -159,20 +162,20 @@
         )
 
     def observe_earliest_offset(self, earliest_offset: int) -> None:
-        """Takes the oldest offset that the log still holds, before a page.
+        """Updates the log's oldest retained offset, before applying a page.
 
-        A stream that was trimmed past the reader may hold nothing more to
-        read, so the gap need not show in any record.
+        If the stream was trimmed past the read position and is now empty, no
+        record would reveal the gap.
         """
         if earliest_offset > self.read_offset:
             self._gap_end = self._scan_offset = earliest_offset
             self._collector.clear()
 
     def apply(self, record_: record.Record) -> Outcome:
-        """Folds the record at `read_offset`; others change nothing.
+        """Applies the record at `read_offset`; any other record is skipped.
 
-        A page may be applied record by record to its end: when a checkpoint
-        sends the reader back, the rest of the page is passed over as ahead.
+        A caller may apply every record of a page: if a checkpoint restore
+        moves `read_offset` back, the rest of the page is skipped as `AHEAD`.
         """
         offset = record_.offset
         if offset < self.read_offset:
@@ -200,7 +203,7 @@
         return outcome
 
     def snapshot(self) -> publication.Snapshot:
-        """Returns the whole state, for a peer or a checkpoint."""
+        """Returns the complete state, for a peer or a checkpoint."""
         return publication.Snapshot(
             next_offset=self._next_offset,
             digest=self.digest(),
@@ -210,14 +213,15 @@
     def restore_snapshot(
         self, snapshot: publication.Snapshot
     ) -> Result[int, errors.BadSnapshot]:
-        """Takes over a newer state from a peer or a checkpoint.
+        """Replaces the state by a newer one from a peer or a checkpoint.
 
         Args:
-            snapshot: The state; one that is behind this fold is ignored.
+            snapshot: The new state; it is ignored unless it is newer than the
+                current one.
 
         Returns:
-            The offset up to which the stream is folded now, or why the
-            snapshot was not taken.
+            The offset up to which the stream is now applied, or why the
+            snapshot was rejected.
         """
         if snapshot.next_offset <= self._next_offset:
             return Success(self._next_offset)
@@ -282,10 +286,10 @@
         return Skipped(offset=offset, reason=reason)
 
     def _compare_digests(self, snapshot: publication.Snapshot) -> SkipReason:
-        # Only where nothing has changed since can the states be compared. A
-        # difference means that two releases judge differently or that a
-        # host's memory is bad; it is told, and this fold goes on by its own
-        # reading.
+        # Digests are only comparable if nothing has changed since the
+        # checkpoint. A mismatch means that two releases evaluate differently
+        # or that a host has faulty memory; it is reported, and this registry
+        # keeps its own state.
         unchanged = self._changed_offset < snapshot.next_offset
         if unchanged and snapshot.digest != self.digest():
             return SkipReason.DIVERGED
@@ -298,8 +302,8 @@
         if len(record_id) > publication.MAX_RECORD_ID_CHARS:
             return Skipped(offset=offset, reason=SkipReason.UNREADABLE)
         if self._catalog.verdict(record_id) is not None:
-            # A writer whose answer was lost appended again. Judging the copy
-            # could turn a refusal that was already told into an acceptance.
+            # The writer retried an append whose response was lost. Evaluating
+            # the duplicate could turn a reported refusal into an acceptance.
             return Skipped(offset=offset, reason=SkipReason.DUPLICATE)
         evaluated = acceptance.evaluate(
             publish,
--- a/packages/bulrushgrade/bulrushgrade/serviceindex.py
+++ b/packages/bulrushgrade/bulrushgrade/serviceindex.py
@@ -1,4 +1,4 @@
-"""The accepted documents as a request meets them: what names mean."""
+"""Accepted services, indexed by the names that requests use."""
 
 from collections.abc import Iterable
 
@@ -11,13 +11,13 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceIndex:
-    """The services that are in force.
+    """Lookup tables over the accepted service documents.
 
     Attributes:
-        services: Their documents by service name.
-        services_by_model: The model services that offer a model or adapter, by
+        services: The documents by service name.
+        services_by_model: The model services that run a model or adapter, by
             its name.
-        capacity_token_s_per_s: What the whole fleet can hold in work.
+        capacity_token_s_per_s: The capacity of the whole fleet.
     """
 
     services: dict[str, document.ServiceDocument]
@@ -27,10 +27,10 @@
     def find_model_services(
         self, name: str
     ) -> tuple[document.ServiceDocument, ...]:
-        """Returns the model services that a request may mean by a name.
+        """Returns the model services that a name in a request may refer to.
 
-        A service's own name goes before a model's, so that a service can
-        always be told from others that offer the same model.
+        A service name takes precedence over a model name, so that a service
+        can always be distinguished from others that run the same model.
         """
         service = self.services.get(name)
         if service is not None and service.kind == "model":
@@ -38,14 +38,14 @@
         return self.services_by_model.get(name, ())
 
     def find_plain_service(self, name: str) -> document.ServiceDocument | None:
-        """Returns the plain service of this name, or None."""
+        """Returns the plain service with this name, or None."""
         service = self.services.get(name)
         if service is None or service.kind != "plain":
             return None
         return service
 
     def policies(self) -> tuple[work.ServicePolicy, ...]:
-        """Returns what the decisions need to know of each service."""
+        """Returns the scheduling policy of each service."""
         return tuple(
             _to_policy(service, self.capacity_token_s_per_s)
             for service in self.services.values()
@@ -56,11 +56,11 @@
     services: Iterable[document.ServiceDocument],
     fleet_document: fleet.FleetDocument | None,
 ) -> ServiceIndex:
-    """Returns the service_index of some accepted documents.
+    """Builds the index of the accepted documents.
 
     Args:
         services: The accepted service documents.
-        fleet_document: The accepted fleet document, if there is one.
+        fleet_document: The accepted fleet document, if any.
     """
     services_by_name = {service.service: service for service in services}
     services_by_model: dict[str, tuple[document.ServiceDocument, ...]] = {}
@@ -85,7 +85,7 @@
 
     Args:
         service: The service's document.
-        name: What the request calls it: the service, a model or an adapter.
+        name: The name in the request: of the service, a model or an adapter.
     """
     return name if name in _list_models(service) else service.models[0].name
 
--- a/packages/bulrushgrade/bulrushgrade/servicespec.py
+++ b/packages/bulrushgrade/bulrushgrade/servicespec.py
@@ -1,7 +1,7 @@
-"""What a service asks of the fleet: the sections of its document.
+"""The sections of a service document, and lookups in them.
 
-The lookups here decide for every request which limits hold for it and whether
-it may be run twice, so they are plain searches over short tuples.
+The lookups run for every request: they determine its limits and whether it may
+be run twice. They are linear searches over short tuples.
 """
 
 from collections.abc import Mapping
@@ -13,10 +13,10 @@
 
 @attrs.frozen(kw_only=True)
 class Heading:
-    """Whose document it is.
+    """The section that identifies the service and its owner.
 
     Attributes:
-        format: Number of the rules that it is written for.
+        format: Number of the validation rules that the document follows.
         service: The service's name.
         team: The team that owns the service.
         kind: ``model`` for model engines, ``plain`` for a plain service.
@@ -34,8 +34,8 @@
 
     Attributes:
         name: The model.
-        version: The version that is in force.
-        adapters: Adapters that its engines have loaded besides.
+        version: The version to run.
+        adapters: Adapters that its engines load in addition to the model.
     """
 
     name: str
@@ -45,20 +45,20 @@
 
 @attrs.frozen(kw_only=True)
 class DeadlineClass:
-    """Time limits of a class of requests, and which requests belong to it.
+    """Time limits of a class of requests, and the class's conditions.
 
-    A request belongs to the first class of the document whose every condition
-    holds; the last class has none, so each request has a class.
+    A request belongs to the first class of the document whose conditions all
+    hold. The last class has no conditions, so every request has a class.
 
     Attributes:
-        name: The class.
+        name: The class's name.
         whole_answer_s: Seconds from arrival to the end of the answer.
         first_token_s: Seconds from arrival to the first token; None for plain
             services.
         between_tokens_s: Seconds between two tokens; None for plain services.
-        max_prompt_tokens: Condition: the prompt is no longer.
-        max_answer_tokens: Condition: no more tokens are asked for.
-        header: Condition: a request header has a value, ``Name: value``.
+        max_prompt_tokens: Condition: the prompt has at most this many tokens.
+        max_answer_tokens: Condition: at most this many tokens are requested.
+        header: Condition: a request header has this value, ``Name: value``.
     """
 
     name: str
@@ -78,17 +78,18 @@
 
 @attrs.frozen(kw_only=True)
 class Share:
-    """The service's part in the fleet's engines.
+    """The service's share of the fleet's engine capacity.
 
-    One token-second per second is one token held in work on an engine all
-    the time.
+    One token-second per second corresponds to one token of running requests
+    held on an engine continuously.
 
     Attributes:
         guaranteed_token_s_per_s: Guaranteed token-seconds per second, or None
-            where the guarantee is a fraction.
-        guaranteed_fraction: Guaranteed part of the whole fleet's capacity.
-        borrow: Whether it may use what others leave unused.
-        priority: Rank among borrowers, 0 first.
+            if the guarantee is a fraction.
+        guaranteed_fraction: Guaranteed fraction of the fleet's capacity, or
+            None if the guarantee is absolute.
+        borrow: Whether it may use capacity that other services leave unused.
+        priority: Priority among borrowers; 0 is the highest.
     """
 
     guaranteed_token_s_per_s: float | None = None
@@ -97,7 +98,7 @@
     priority: int = 5
 
     def fraction_of(self, capacity_token_s_per_s: float) -> float:
-        """Returns the guaranteed part of a capacity."""
+        """Returns the guarantee as a fraction of a capacity."""
         if self.guaranteed_fraction is not None:
             return self.guaranteed_fraction
         if not self.guaranteed_token_s_per_s:
@@ -109,17 +110,18 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """What a service says about some of its calls.
+    """Properties of the requests that match a method and path.
 
     Attributes:
-        name: The route, for counters and errors.
+        name: The route's name, for counters and errors.
         method: An HTTP method, or ``*`` for any.
-        path: A path below the service; ``*`` stands for one segment and a
-            last ``**`` for any number of them.
-        repeatable: Whether running a call twice does no harm.
-        idempotency_header: Request header whose value marks the retries of
-            one call, or None.
-        deadline: Name of the deadline class, or None to go by conditions.
+        path: A path relative to the service; ``*`` matches one segment and a
+            final ``**`` any number of segments.
+        repeatable: Whether a request may safely be run twice.
+        idempotency_header: Request header whose value is the same for all
+            retries of one request, or None.
+        deadline: Name of the deadline class, or None to choose it by the
+            classes' conditions.
     """
 
     name: str
@@ -132,11 +134,11 @@
 
 @attrs.frozen(kw_only=True)
 class RetryLimits:
-    """How often the system may try again for the caller.
+    """Limits on retries that are made on the caller's behalf.
 
     Attributes:
-        max_attempts: Attempts a request, the first one counted.
-        budget_fraction: Retries as a part of the service's fresh requests.
+        max_attempts: Attempts per request, including the first.
+        budget_fraction: Retries as a fraction of the service's fresh requests.
     """
 
     max_attempts: int = 3
@@ -145,11 +147,11 @@
 
 @attrs.frozen(kw_only=True)
 class QueueLimits:
-    """How much may wait, a daemon.
+    """Limits on the service's queue in each daemon.
 
     Attributes:
-        max_requests: Requests that wait at most.
-        max_wait_s: Seconds that a request waits at most.
+        max_requests: Maximum number of queued requests.
+        max_wait_s: Maximum seconds that a request is queued.
     """
 
     max_requests: int = 256
@@ -158,11 +160,11 @@
 
 @attrs.frozen(kw_only=True)
 class Weights:
-    """What counts for more when the two pull apart.
+    """Weights of the two objectives of role planning.
 
     Attributes:
         goodput: Weight of answers that are complete and on time.
-        role_changes: Weight of engine seconds lost to changes of role.
+        role_changes: Weight of the engine seconds lost to role changes.
     """
 
     goodput: float = 1.0
@@ -172,21 +174,22 @@
 def find_route(
     routes: tuple[Route, ...], *, method: str, path: str
 ) -> Route | None:
-    """Returns the route that a call falls under.
+    """Returns the route that applies to a request.
 
-    A call that two routes match falls under the first of those that forbid a
-    repeat, if any does. The error to guard against is a second booking: a
-    wide ``/**`` above a narrow route would allow it, seen only when an answer
-    is lost on that very call. Case and a last slash don't matter here for the
-    same reason, since many plain services take both forms for one resource.
+    If several routes match, the first non-repeatable one takes precedence over
+    all repeatable ones. Otherwise a broad ``/**`` listed before a specific
+    route would allow duplicate execution, such as a second booking, and the
+    mistake would only show when an answer to such a request is lost. Case and
+    trailing slashes are ignored for the same reason, since many plain services
+    treat both forms as one resource.
 
     Args:
         routes: The document's routes.
-        method: The call's method.
-        path: Its path below the service, without the query.
+        method: The request's method.
+        path: The path relative to the service, without the query.
 
     Returns:
-        The route, or None where none matches.
+        The route, or None if none matches.
     """
     normalized = "/" + path.strip("/").lower()
     matching = [
@@ -202,11 +205,11 @@
 
 
 def is_repeatable(routes: tuple[Route, ...], *, method: str, path: str) -> bool:
-    """Whether a call may be run twice.
+    """Whether a request may be run twice.
 
-    A call that no route names may not. Nor may one whose path has more than
-    one spelling (escapes, empty or dotted segments): the service could read
-    it as a path of a route that forbids a repeat.
+    A request that matches no route may not. Nor may one whose path can be
+    written in another way (escapes, empty or dotted segments): the service
+    might resolve it to the path of a non-repeatable route.
     """
     if "%" in path or "\\" in path or "//" in path or "/." in path:
         return False
@@ -224,9 +227,9 @@
     """Returns the first class whose conditions a request meets.
 
     Args:
-        deadlines: The document's classes; the last has no condition.
-        prompt_tokens: Tokens of the prompt, counted or estimated.
-        answer_tokens: Tokens that are asked for at most.
+        deadlines: The document's classes; the last has no conditions.
+        prompt_tokens: Prompt tokens, counted or estimated.
+        answer_tokens: Maximum number of tokens requested.
         headers: Request headers by lower-case name.
     """
     for deadline in deadlines[:-1]:
@@ -253,7 +256,7 @@
     return headers.get(name.lower()) == value
 
 
-# Bounded: paths of documents that were replaced long ago may not pile up.
+# The bound keeps the paths of replaced documents from accumulating.
 @functools.lru_cache(maxsize=4096)
 def _compile_path(path: str) -> re.Pattern[str]:
     pattern = re.escape(path).replace(r"/\*\*", "(/.*)?")
--- a/packages/bulrushgrade/tests/test_checkpoint.py
+++ b/packages/bulrushgrade/tests/test_checkpoint.py
@@ -1,4 +1,4 @@
-"""Tests of checkpoints' parts and of their schedule."""
+"""Tests of the assembly and scheduling of checkpoints."""
 
 import random
 
@@ -83,7 +83,7 @@
 
 
 def _run(schedules, *, until, dead=(), lag_s=2.0):
-    """Steps daemons that read each other's checkpoints after a lag."""
+    """Simulates daemons that read each other's checkpoints after a lag."""
     offset, appended, arriving, now = 20, [], [], 0.0
     while now < until:
         for whole in [w for at, w in arriving if at <= now]:
@@ -116,10 +116,10 @@
 
 
 def test_next_in_order_replaces_dead_daemon():
-    # Story: the daemon whose turn it is was killed and the host list still
-    # has it. Without a next turn the last checkpoint would be trimmed, and
-    # every daemon that starts later would never become ready. Two turns of
-    # 5 s follow the 15 s in which a first checkpoint may be heard of.
+    # The daemons first in order are dead but still in the host list. If none
+    # took over, the last checkpoint would be trimmed and daemons that start
+    # later would never become ready. Two turns of 5 s follow the 15 s startup
+    # grace period.
     order = sorted(HOSTS, key=lambda h: checkpoint.find_turn(h, HOSTS, -1))
     appended = _run(_schedules(), until=60.0, dead=order[:2])
     assert [(at, host) for at, host, _ in appended] == [(25.0, order[2])]
@@ -151,7 +151,7 @@
     old = publication.CheckpointAge(first_offset=4, next_offset=4, age_s=9e9)
     schedule.observe_peer_age(old, now=4.0)
     assert _due(schedule, 1000.0) is None
-    assert _due(schedule, 1200.0) is None  # Its turn may be a later one.
+    assert _due(schedule, 1200.0) is None  # Its turn may come later.
     assert _due(schedule, 1250.0) == "the last checkpoint is old"
 
 
@@ -166,8 +166,8 @@
 
 
 def test_trimmed_checkpoint_and_many_records_are_due():
-    # A state up to 4 is of no use once record 4 is gone, though the parts that
-    # hold it, from 6 on, are still there.
+    # A checkpoint with `next_offset` 4 is unusable once record 4 is trimmed,
+    # although its parts, from offset 6 on, are still in the log.
     for options, reason in (
         ({"earliest": 5}, "the log has trimmed what the checkpoint needs"),
         ({"earliest": 4}, None),
--- a/packages/bulrushgrade/tests/test_registry.py
+++ b/packages/bulrushgrade/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of documents."""
+"""Tests of the registry of accepted documents."""
 
 import hypothesis
 from hypothesis import strategies
@@ -91,7 +91,7 @@
         self.append(*bodies)
 
     def read(self, fold):
-        """Lets a fold read to the end; returns the outcomes."""
+        """Lets a registry read to the end; returns the outcomes."""
         outcomes, before = [], None
         while before != fold.read_offset:
             before = fold.read_offset
@@ -115,9 +115,8 @@
 
 
 def test_concurrent_publishes_accept_only_the_first():
-    # Story: two operators edit the same revision; the second publish would
-    # undo the first without its author having seen it. The base that each
-    # names decides: the first in offset order wins.
+    # Two operators edit the same revision. Without the check of the base
+    # offset, the second publish would overwrite the first one's change unseen.
     _, fold, codes = _fold(
         FLEET, desk(), desk(base=1, share=200), desk(base=1, share=300)
     )
@@ -180,9 +179,9 @@
 
 
 def test_duplicate_of_refused_publish_is_not_reevaluated():
-    # Story: a publish is refused for want of room and its author is told so.
-    # The log had stored it twice; in between room was made. The copy would
-    # come into force although its author has turned to something else.
+    # A publish that does not fit the capacity is refused, but the log stored it
+    # twice. If capacity is added in between, the duplicate must not be accepted
+    # after its author was told of the refusal.
     log, fold, _ = _fold(FLEET, desk(share=2000))
     log.append(publish("fleet", fleet_text(capacity=3000), base=0))
     log.append(desk(share=2000), record_id="r1")
@@ -242,9 +241,8 @@
 
 
 def test_snapshot_restore_parses_only_changed_documents():
-    # Story: a daemon that serves is one record behind and hears a snapshot.
-    # With some hundred documents parsed anew its callers would wait for a
-    # third of a second.
+    # A serving daemon that is one record behind receives a snapshot. Reparsing
+    # some hundred documents would delay its callers by a third of a second.
     log, fold, _ = _fold(
         FLEET, desk(), publish("ledger", service_text("ledger"))
     )
--- a/packages/bulrushgrade/tests/test_registry_machine.py
+++ b/packages/bulrushgrade/tests/test_registry_machine.py
@@ -1,4 +1,4 @@
-"""A state machine of publishers, readers and a log that fails."""
+"""Stateful test of publishers, readers and an unreliable log."""
 
 from hypothesis import stateful
 from hypothesis import strategies
@@ -12,7 +12,7 @@
 OWNERS = {"desk": "office", "ledger": "office", "spray": "growers"}
 CAPACITY = 100.0
 READERS = 3
-# Puts a few services into a part, so that checkpoints have several parts.
+# Small enough that checkpoints have several parts.
 PART_BYTES = 2000
 
 
@@ -50,7 +50,7 @@
 
 
 class RegistryMachine(stateful.RuleBasedStateMachine):
-    """Publishers race, answers get lost, the log trims, readers lag."""
+    """Concurrent publishers, lost responses, trimming and lagging readers."""
 
     def __init__(self):
         super().__init__()
@@ -60,7 +60,7 @@
         self.verdicts = {}
         self.parts = []
         self.accepted_bases = set()
-        # Reads every record at once, before any is trimmed.
+        # Reads every record when it is appended, before any is trimmed.
         self.reference = registry.Registry()
         self.states = [self._state()]
         self.readers = [registry.Registry() for _ in range(READERS)]
@@ -133,7 +133,7 @@
         ),
     )
     def publish(self, service, share, seen_by, delivery):
-        """An operator edits what one reader, perhaps lagging, has."""
+        """An operator edits the revision of one reader, which may lag."""
         team = OWNERS[service]
         record_id, body = self._make(
             service, team, self._base(service, seen_by), share
@@ -151,7 +151,7 @@
         garbage=strategies.sampled_from([b"", b"{}", b'{"kind":[]}']),
     )
     def publish_invalid(self, service, team, share, garbage):
-        """A greedy document, perhaps of a stranger, and a damaged record."""
+        """Publishes an oversized or unowned document and a malformed record."""
         base = self._base(service, 0)
         self._append(*self._make(service, team, base, share))
         self.ids += 1
@@ -162,7 +162,7 @@
     )
     @stateful.rule(data=strategies.data())
     def append_again(self, data):
-        """A publisher without an answer sends the same record id again."""
+        """Retries an append whose response was lost, with the same id."""
         names = strategies.sampled_from(sorted(self.unsettled))
         record_id = data.draw(names)
         self._append(record_id, self.unsettled[record_id])
@@ -186,7 +186,7 @@
     @stateful.precondition(lambda self: not self.log_unreachable)
     @stateful.rule(reader=strategies.integers(0, READERS - 1))
     def begin_checkpoint(self, reader):
-        """Takes the place of one whose appender died midway."""
+        """Replaces an incomplete checkpoint whose writer crashed."""
         self.read(reader, len(self.records))
         if self.readers[reader].readiness(len(self.records)) == Success(
             len(self.records)
@@ -206,7 +206,7 @@
         share=strategies.sampled_from([10.0, 20.0, 30.0]),
     )
     def append_parts(self, count, service, share):
-        """A change comes between the state and its checkpoint's parts."""
+        """Appends a publish between a snapshot and its checkpoint's parts."""
         seen = self.reference.accepted_revision(service)
         base = seen.offset if seen else None
         self._append(*self._make(service, OWNERS[service], base, share))
@@ -235,7 +235,7 @@
         reader=strategies.integers(0, READERS - 1), data=strategies.data()
     )
     def restart(self, reader, data):
-        """A new host gets a snapshot that may be older than the log."""
+        """A restarted daemon restores a snapshot that may be old."""
         self.readers[reader] = registry.Registry()
         self.highest[reader] = {}
         self.restore_snapshot_from_peer(reader, data)
@@ -244,7 +244,7 @@
         reader=strategies.integers(0, READERS - 1), data=strategies.data()
     )
     def restore_snapshot_from_peer(self, reader, data):
-        """A peer's snapshot comes late."""
+        """Restores a peer's snapshot, possibly an old one."""
         saved = data.draw(strategies.sampled_from(self.saved))
         assert isinstance(self.readers[reader].restore_snapshot(saved), Success)
 
@@ -276,12 +276,12 @@
             for record_id, verdict in self.verdicts.items():
                 known = fold.find_verdict(record_id)
                 assert known is None or known == verdict
-                # Below the bound of the history none is forgotten.
+                # Below the limit of the history no verdict is evicted.
                 if verdict.offset < fold.next_offset and self.ids < 32:
                     assert known == verdict
 
     def teardown(self):
-        """With the log back, every reader ends ready and equal."""
+        """Once the log is reachable, every reader becomes ready and equal."""
         self.log_unreachable = False
         for body in checkpoint.serialize_checkpoint(
             self.reference.snapshot(),
--- a/packages/bulrushgrade/tests/test_servicespec.py
+++ b/packages/bulrushgrade/tests/test_servicespec.py
@@ -1,4 +1,4 @@
-"""Tests of the lookups in a document's sections."""
+"""Tests of the lookups in the sections of a service document."""
 
 from bulrushgrade import servicespec
 
@@ -10,9 +10,9 @@
 
 
 def test_broad_route_does_not_override_non_repeatable_route():
-    # Story: a farm books a spray day; the answer is lost; the system repeats
-    # the call and two crews come. Cause: a route for everything, written
-    # above the one for bookings, says that repeats do no harm.
+    # A booking's answer is lost. If a catch-all repeatable route that is listed
+    # first overrode the non-repeatable route for bookings, the request would
+    # be retried and the booking made twice.
     routes = (
         _route("/**", repeatable=True),
         _route("/bookings/*", repeatable=False, method="PUT"),
