--- a/packages/bulrushgrade/bulrushgrade/capacityplan.py
+++ b/packages/bulrushgrade/bulrushgrade/capacityplan.py
@@ -1,11 +1,12 @@
-"""How many engines of which kind a service should have in each zone.
-
-Spot engines cost a part of the others' price, and all those of a zone may be
-taken away at once. So a service is moved to as many of them as cost no more
-than the engines that it had, which leaves a reserve: without any one zone, the
-others still have as many engines as the service needs. Where zones have no
-spot engines to give and the rest is too few, engines at the full price stand
-in. Engines are ordered before those that they replace are given up.
+"""Decides how many spot and full-price engines a service has in each zone.
+
+Spot engines cost a fraction of the full price, and all those of a zone may be
+reclaimed at once. A service therefore moves to as many spot engines as cost no
+more than the engines that it had. This leaves a reserve: when any one zone is
+lost, the others still have as many engines as the service needs. Where zones
+have no spot engines available and too few remain, full-price engines are
+ordered instead. Engines are ordered before those that they replace are
+released.
 """
 
 from collections.abc import Mapping
@@ -14,25 +15,25 @@
 import attrs
 
 REFUSAL_RETRY_S = 2.0
-"""Before a zone that had no engines to give is asked again."""
+"""Time before a zone that had no engines available is asked again."""
 
 RETRY_S = 1.0
-"""Before an order is sent again that was not answered."""
+"""Time before an unanswered order is sent again."""
 
 Pool = tuple[str, bool]
-"""A zone, and whether its engines are spot ones."""
+"""An availability zone and whether its engines are spot engines."""
 
 
 @attrs.frozen(kw_only=True)
 class Scaling:
-    """What the operator allows for a service.
+    """The operator's scaling limits for a service.
 
     Attributes:
-        min_engines: Engines that each zone has at least.
-        max_engines: Engines that each zone has at most, of both kinds together.
-        boot_s: How long a new engine takes until it serves.
-        spot_price: The price of a spot engine, as a part of the other kind's.
-        zone_prices: The price of an engine by zone.
+        min_engines: Minimum number of engines in each zone.
+        max_engines: Maximum number of engines in each zone, of both kinds.
+        boot_s: Time from the start of an engine until it serves.
+        spot_price: Price of a spot engine as a fraction of the full price.
+        zone_prices: Price of an engine by zone.
     """
 
     min_engines: int
@@ -47,12 +48,12 @@
     """An order of engines.
 
     Attributes:
-        holder: The incarnation of the host that orders.
+        holder: The incarnation of the ordering host.
         service: The service.
         zone: The availability zone.
-        is_spot: Which kind is ordered.
-        count: How many of that kind the zone is to have.
-        needed: How many engines the service needs in all zones together.
+        is_spot: Whether spot engines are ordered.
+        count: How many engines of that kind the zone should have.
+        needed: How many engines the service needs across all zones.
     """
 
     holder: str
@@ -65,13 +66,13 @@
 
 @attrs.frozen(kw_only=True)
 class CapacityView:
-    """What is known of one service's engines.
+    """The known state of one service's engines.
 
     Attributes:
         service: The service.
-        scaling: What the operator allows.
-        running: Engines that take work, by zone and kind.
-        settle_s: Until what an engine registers is known everywhere.
+        scaling: The operator's limits.
+        running: Number of serving engines by zone and kind.
+        settle_s: Time until all hosts know what an engine has registered.
     """
 
     service: str
@@ -81,13 +82,13 @@
 
     @property
     def zones(self) -> list[str]:
-        """The zones that may have engines, the cheapest first."""
+        """The zones that may have engines, cheapest first."""
         prices = self.scaling.zone_prices
         return sorted(prices, key=lambda zone: (prices[zone], zone))
 
     @property
     def total(self) -> int:
-        """Engines that take work."""
+        """The number of serving engines."""
         return sum(self.running.values())
 
 
@@ -98,18 +99,18 @@
 
 
 class CapacityPlan:
-    """Watches the engines of one service."""
+    """Proposes orders of engines for one service."""
 
     def __init__(self, *, holder: str):
-        """Makes a plan that has seen nothing.
+        """Creates a plan without observations.
 
         Args:
-            holder: The incarnation of the host that orders.
+            holder: The incarnation of the ordering host.
         """
         self._holder = holder
         self._needed: int | None = None
         self._ordered: dict[Pool, _Ordered] = {}
-        # Since a refusal, until an order is taken again.
+        # Pools that refused an order and have not accepted one since.
         self._refusing: set[Pool] = set()
         self._retry_at: dict[Pool, float] = {}
         self._total: int | None = None
@@ -118,33 +119,33 @@
 
     @property
     def needed(self) -> int | None:
-        """Engines that the service needs; None before that is known."""
+        """The number of engines that the service needs, or None if unknown."""
         return self._needed
 
     def take_record(self, record: CapacityRecord, now: float) -> None:
-        """Takes an order that was recorded, by whichever host."""
+        """Applies a recorded order of any host."""
         self._needed = record.needed
         pool = record.zone, record.is_spot
         self._ordered[pool] = _Ordered(count=record.count, at=now)
 
     def note_taken(self, order: CapacityRecord) -> None:
-        """Notes that a zone gives the engines that were ordered."""
+        """Records that a zone accepted an order."""
         self._refusing.discard((order.zone, order.is_spot))
 
     def note_refusal(self, order: CapacityRecord, now: float) -> None:
-        """Notes that a zone has no such engines to give now."""
+        """Records that a zone has no such engines available now."""
         pool = order.zone, order.is_spot
         self._refusing.add(pool)
         self._retry_at[pool] = now + REFUSAL_RETRY_S
         self._ordered.pop(pool, None)
 
     def note_failure(self, order: CapacityRecord, now: float) -> None:
-        """Notes that it is not known what came of an order."""
+        """Records that the outcome of an order is unknown."""
         self._ordered.pop((order.zone, order.is_spot), None)
         self._paused_until = now + RETRY_S
 
     def propose(self, view: CapacityView, now: float) -> CapacityRecord | None:
-        """Returns the order that should be given now, or None."""
+        """Returns the order to send now, or None."""
         scaling = view.scaling
         if not 0.0 < scaling.spot_price < 1.0 or len(view.zones) < 2:
             return None
@@ -153,7 +154,7 @@
         if now < self._paused_until:
             return None
         targets = self._targets(view)
-        # Zones that refused come last: they are only asked again.
+        # Pools that refused come last: their orders are only retries.
         for pool in sorted(targets, key=self._refusing.__contains__):
             count = targets[pool]
             if self._has_shortage(view, pool, count, now):
@@ -164,7 +165,7 @@
         return None
 
     def _learn_needed(self, view: CapacityView, now: float) -> bool:
-        """Takes the number that the operator has, once it stays the same."""
+        """Takes the number of running engines as needed once it is stable."""
         if view.total != self._total:
             self._total, self._total_stable_since = view.total, now
             return False
@@ -174,13 +175,13 @@
         return True
 
     def _targets(self, view: CapacityView) -> dict[Pool, int]:
-        """Returns how many engines each zone should have, cheapest first."""
+        """Returns the target number of engines by pool, cheapest zone first."""
         scaling, zones = view.scaling, view.zones
         each = min(
             max(self._affordable(view), scaling.min_engines),
             scaling.max_engines,
         )
-        # A zone that gives no more still has those that run there.
+        # A zone that refuses more still counts with the engines it runs.
         spot = {
             zone: min(each, view.running.get((zone, True), 0))
             if (zone, True) in self._refusing
@@ -201,9 +202,10 @@
         return targets | {(zone, False): full[zone] for zone in zones}
 
     def _affordable(self, view: CapacityView) -> int:
-        """Returns the spot engines a zone that cost what was paid before.
+        """Returns how many spot engines per zone the former cost pays for.
 
-        At least as many as leave what is needed without any one zone.
+        The result is at least the number that leaves the needed engines when
+        any one zone is lost.
         """
         zones = len(view.zones)
         paid_for = self._needed / view.scaling.spot_price
@@ -213,7 +215,7 @@
     def _has_shortage(
         self, view: CapacityView, pool: Pool, count: int, now: float
     ) -> bool:
-        """Returns whether a pool has too few, with none on the way."""
+        """Returns whether a pool has too few engines and none are starting."""
         if view.running.get(pool, 0) >= count:
             return False
         if self._retry_at.get(pool, 0.0) > now:
@@ -225,7 +227,7 @@
         return now - ordered.at > coming_s
 
     def _has_surplus(self, view: CapacityView, pool: Pool, count: int) -> bool:
-        """Returns whether a pool can give engines up."""
+        """Returns whether a pool can release engines."""
         running = view.running.get(pool, 0)
         if running <= count:
             return False
--- a/packages/bulrushgrade/bulrushgrade/crashledger.py
+++ b/packages/bulrushgrade/bulrushgrade/crashledger.py
@@ -1,19 +1,20 @@
-"""Which requests were at endpoints that crashed, and which are to blame.
-
-A request may crash each endpoint that begins to run it. Sent on after each
-crash, and again with each try of its caller, it takes one endpoint after the
-other. The ledger holds, for all hosts, which requests were at each endpoint
-that crashed. A request that was at several of them is quarantined: it is not
-sent to endpoints any more.
-
-Requests that only happened to be there look the same at first. Most of them
-were at one crash and run to their end at another endpoint. One that runs to
-its end is not to blame, whatever was held against it: it is forgotten. Those
-that had not begun to run, and those whose crashes are all in one availability
-zone in which others crash too, need one crash more.
-
-A quarantine ends by itself, as nothing else could show that its request has
-become harmless. The next crash begins one that is twice as long.
+"""Finds requests that crash endpoints and quarantines them.
+
+A request may crash each endpoint that starts to run it. It is retried after
+each crash, and sent again with each try of its caller, so it crashes one
+endpoint after another. The ledger records, for all hosts, which requests were
+in flight at each endpoint that crashed. A request that was in flight at
+several of them is quarantined: it is not sent to endpoints any more.
+
+Requests that were only there by chance look the same at first. Most of them
+are involved in one crash and complete at another endpoint. A request that
+completes is not to blame, however many crashes it was involved in, and its
+involvements are dropped. Requests that had not started to run need one more
+crash, and so do those whose crashes are all in one availability zone in which
+other endpoints crashed too.
+
+A quarantine expires, since nothing else could show that its request has
+become harmless. The next crash starts one that is twice as long.
 """
 
 import collections
@@ -23,36 +24,37 @@
 import attrs
 
 MIN_CRASHES = 3
-"""Crashes of a request that is quarantined. Requests that are moved together
-from one endpoint to the next can't be told apart by fewer."""
+"""Number of crashes after which a request is quarantined. Requests that are
+moved together from one endpoint to the next can't be told apart by fewer."""
 
 MIN_CRASHES_REPEATED = 2
-"""The same, for a caller that has several quarantined requests already."""
+"""The same for a caller that has several quarantined requests already."""
 
 REPEATED_REQUESTS = 2
-"""Quarantined requests of one caller after which fewer crashes are enough."""
+"""Number of quarantined requests of one caller from which on fewer crashes are
+enough."""
 
 ZONE_FAILURE_S = 2.0
-"""Before and after the crashes of a request, for which others in the same
-zone count as parts of one failure."""
+"""Time before and after the crashes of a request within which other crashes in
+the same zone count as part of the same failure."""
 
 CRASH_TTL_S = 600.0
-"""After the last crash of a request, or the end of its quarantine, how long
-its crashes count against it."""
+"""How long the crashes of a request count after the last of them, or after the
+end of its quarantine."""
 
 QUARANTINE_S = 600.0
-"""How long the first quarantine of a request lasts."""
+"""Duration of the first quarantine of a request."""
 
 MAX_QUARANTINE_S = 86_400.0
-"""How long one lasts at most."""
+"""Maximum duration of a quarantine."""
 
 MAX_INVOLVEMENTS = 4096
-"""Requests at crashed endpoints that are kept, so that no failure and no
-caller can fill the memory of the hosts. The oldest give way, those of
+"""Maximum number of retained involvements, so that no failure and no caller can
+exhaust the memory of the hosts. The oldest are dropped first, those of
 quarantined requests last."""
 
 MAX_DOUBLINGS = math.ceil(math.log2(MAX_QUARANTINE_S / QUARANTINE_S))
-"""Times that it is doubled until it is as long."""
+"""Number of doublings after which a quarantine has its maximum duration."""
 
 Incarnation = tuple[str, int]
 
@@ -62,15 +64,15 @@
 
 @attrs.frozen(kw_only=True)
 class Involvement:
-    """A request that was at an endpoint when that crashed.
+    """A request that was in flight at an endpoint when the endpoint crashed.
 
     Attributes:
-        fingerprint: Names the request and its repeats.
-        caller: Names who sent it.
+        fingerprint: Identifies the request and its repetitions.
+        caller: Identifies the caller.
         endpoint: The endpoint's incarnation.
         zone: The endpoint's availability zone.
-        has_begun: Whether its answer had begun. Where none had, it may have
-            waited for its turn.
+        has_begun: Whether its answer had started. Otherwise the request may
+            still have been queued.
     """
 
     fingerprint: str
@@ -81,7 +83,7 @@
 
     @property
     def key(self) -> Key:
-        """Names the involvement."""
+        """The key that identifies the involvement."""
         return (self.fingerprint, self.endpoint)
 
 
@@ -94,13 +96,13 @@
 
 
 class CrashLedger:
-    """What is known of crashes; the same on all hosts but for its age."""
+    """The known crashes, equal on all hosts except for their ages."""
 
     def __init__(self):
-        # The oldest first.
+        # Ordered from the oldest to the newest.
         self._entries: dict[Key, _Entry] = {}
         self._by_request: dict[str, dict[Incarnation, _Entry]] = {}
-        # With the crashes that were enough; None where it has to be found anew.
+        # Blamed requests with the crashes that were enough; None if outdated.
         self._blamed: dict[str, int] | None = {}
 
     def __len__(self) -> int:
@@ -111,11 +113,11 @@
 
     @property
     def blamed(self) -> frozenset[str]:
-        """The fingerprints of requests that are to blame for crashes."""
+        """The fingerprints of requests that are blamed for crashes."""
         return frozenset(self._find_blamed())
 
     def take(self, involvement: Involvement, *, now: float) -> None:
-        """Takes an involvement; one that is known already changes nothing."""
+        """Adds an involvement unless it is already known."""
         if involvement.key in self._entries:
             return
         entry = _Entry(involvement=involvement, since=now)
@@ -125,7 +127,7 @@
         self._blamed = None
 
     def drop(self, key: Key) -> None:
-        """Drops an involvement, where it is known."""
+        """Drops an involvement if it is known."""
         if self._entries.pop(key, None) is None:
             return
         fingerprint, endpoint = key
@@ -136,10 +138,10 @@
         self._blamed = None
 
     def clear(self, fingerprint: str) -> list[Key]:
-        """Drops a request's involvements, as it has run to its end.
+        """Drops the involvements of a request that has completed.
 
         Returns:
-            What was dropped.
+            The dropped keys.
         """
         keys = [s.key for s in self.involvements(fingerprint)]
         for key in keys:
@@ -147,7 +149,7 @@
         return keys
 
     def expire(self, now: float) -> list[Key]:
-        """Drops what is too old or too much; returns what was dropped."""
+        """Drops old and excess involvements and returns their keys."""
         blamed = self._find_blamed()
         old = {
             fingerprint
@@ -166,12 +168,12 @@
         return dropped
 
     def involvements(self, fingerprint: str) -> list[Involvement]:
-        """Returns where a request was when endpoints crashed."""
+        """Returns the involvements of a request."""
         entries = self._by_request.get(fingerprint, {})
         return [entry.involvement for entry in entries.values()]
 
     def zones(self, fingerprint: str) -> frozenset[str]:
-        """Returns the availability zones in which endpoints crashed with it."""
+        """Returns the availability zones of a request's crashes."""
         return frozenset(s.zone for s in self.involvements(fingerprint))
 
     def is_quarantined(self, fingerprint: str, now: float) -> bool:
@@ -179,14 +181,14 @@
         return self.left_s(fingerprint, now) > 0
 
     def left_s(self, fingerprint: str, now: float) -> float:
-        """Returns how long a request remains quarantined, 0 if it is not."""
+        """Returns the time left of a request's quarantine, 0 without one."""
         quarantine_s = self._quarantine_s(fingerprint)
         if quarantine_s == 0:
             return 0.0
         return max(0.0, self._last_crash(fingerprint) + quarantine_s - now)
 
     def _quarantine_s(self, fingerprint: str) -> float:
-        """Returns how long a request is quarantined after its last crash."""
+        """Returns the duration of a request's quarantine, 0 without one."""
         enough = self._find_blamed().get(fingerprint)
         if enough is None:
             return 0.0
@@ -195,7 +197,7 @@
         return min(doubled_s, MAX_QUARANTINE_S)
 
     def _find_blamed(self) -> dict[str, int]:
-        """Returns the requests to blame, with the crashes that were enough."""
+        """Returns the blamed requests with the crashes that were enough."""
         if self._blamed is None:
             found = self._select_blamed(self._by_request, MIN_CRASHES)
             by_caller = collections.Counter(map(self._caller, found))
@@ -223,7 +225,7 @@
         return found
 
     def _crashes_needed(self, fingerprint: str, least: int) -> int:
-        """Returns how many crashes of a request are enough to blame it."""
+        """Returns how many crashes are needed to blame a request."""
         begun = sum(s.has_begun for s in self.involvements(fingerprint))
         needed = least
         if begun < least - 1:
--- a/packages/bulrushgrade/bulrushgrade/fleetmembers.py
+++ b/packages/bulrushgrade/bulrushgrade/fleetmembers.py
@@ -1,4 +1,4 @@
-"""Which daemons are there, as heard from them or from who heard them."""
+"""Tracks which daemons are present, by their messages or those of others."""
 
 from collections.abc import Iterable
 
@@ -14,37 +14,38 @@
 
 
 def host_of(name: str) -> str:
-    """Returns the host of a daemon; its name differs after each start."""
+    """Returns the host of a daemon, whose name changes with each start."""
     return name.rpartition("/")[0]
 
 
 class FleetMembers:
-    """Daemons that were heard within a time.
+    """The daemons whose messages arrived recently.
 
-    A daemon hears some peers itself. Of the others it is told by the one that
-    hears them, in lists that replace each other.
+    A daemon receives messages of some peers directly. It learns of the others
+    from the daemon that receives theirs, in lists of which each replaces the
+    one before.
     """
 
     def __init__(self, *, own_name: str):
-        """Makes a state in which nobody was heard.
+        """Creates a state without other daemons.
 
         Args:
-            own_name: This daemon's name; it is never among the others.
+            own_name: This daemon's name, which never counts as another one.
         """
         self._own_name = own_name
         self._heard: dict[str, float] = {}
-        # By who hears them and the part of its list.
+        # By the daemon that sends the list and the part of the list.
         self._lists: dict[tuple[str, int], _MemberList] = {}
         self._unable: set[str] = set()
         self._excluded: dict[str, float] = {}
 
     def observe_message(self, name: str, now: float) -> None:
-        """Notes that a daemon was heard."""
+        """Records that a message of a daemon arrived."""
         self._heard[name] = now
         self._excluded.pop(name, None)
 
     def observe_ability(self, name: str, is_able: bool) -> None:
-        """Notes whether a daemon that was heard could give orders."""
+        """Records whether a daemon that sent a message could give orders."""
         if is_able:
             self._unable.discard(name)
         else:
@@ -59,15 +60,15 @@
         unable: Iterable[str],
         now: float,
     ) -> None:
-        """Takes a part of the list of those that another daemon hears.
+        """Applies a part of another daemon's list unless it is outdated.
 
         Args:
-            by: Who hears them.
-            part: Which part of its list this is.
-            number: Grows from each list to the next.
-            names: Those that are there.
+            by: The daemon that sends the list.
+            part: The part of its list.
+            number: A number that increases from each list to the next.
+            names: The daemons that are present.
             unable: Those of them that could not give orders.
-            now: The present time in seconds.
+            now: The current time in seconds.
         """
         known = self._lists.get((by, part))
         if known is not None and number <= known.number:
@@ -80,7 +81,7 @@
         )
 
     def present(self) -> list[str]:
-        """Returns the other daemons that are there, one a host, sorted."""
+        """Returns the other daemons that are present, one per host, sorted."""
         newest: dict[str, tuple[float, str]] = {}
         for name, at in self._all():
             host = host_of(name)
@@ -90,27 +91,27 @@
         return sorted(name for _, name in newest.values())
 
     def list_numbers(self) -> dict[tuple[str, int], int]:
-        """Returns the numbers of the known lists, by their maker and part."""
+        """Returns the numbers of the known lists, by sender and part."""
         return {key: one.number for key, one in self._lists.items()}
 
     def exclude(self, name: str, until: float) -> None:
-        """Leaves a daemon out that others list, unless it is heard again."""
+        """Ignores lists that name a daemon until a time or its next message."""
         self.drop(name)
         self._excluded[name] = until
 
     def drop_lists(self) -> None:
-        """Forgets all lists, where those who keep them up are not heard."""
+        """Drops all lists, for when their senders can't be reached."""
         self._lists.clear()
 
     def unable_to_order(self) -> set[str]:
-        """Returns those that could not give orders."""
+        """Returns the daemons that could not give orders."""
         found = set(self._unable)
         for one in self._lists.values():
             found |= one.unable
         return found
 
     def drop_earlier_starts(self, name: str) -> list[str]:
-        """Forgets the names that a daemon's host had before; returns them."""
+        """Drops and returns the names of earlier daemons on the same host."""
         host = host_of(name)
         earlier = [
             known
@@ -122,14 +123,20 @@
         return earlier
 
     def drop(self, name: str) -> None:
-        """Forgets a daemon that is known to be gone."""
+        """Drops a daemon that is known to have gone."""
         self._heard.pop(name, None)
         self._unable.discard(name)
 
     def forget(
         self, now: float, *, silent_s: float, list_silent_s: float
     ) -> None:
-        """Drops daemons and lists that were not heard for so long."""
+        """Drops daemons and lists without a message for a time.
+
+        Args:
+            now: The current time in seconds.
+            silent_s: Time after which a daemon is dropped.
+            list_silent_s: Time after which a list is dropped.
+        """
         for name, at in list(self._heard.items()):
             if now - at >= silent_s:
                 self.drop(name)
--- a/packages/bulrushgrade/bulrushgrade/membership.py
+++ b/packages/bulrushgrade/bulrushgrade/membership.py
@@ -1,8 +1,8 @@
-"""Which hosts there are, from a list that lags and from own observations.
+"""Tracks the known hosts by a delayed host list and by own observations.
 
-The list decides who belongs; observations only take hosts out of use sooner
-than the list does. A host gets new work while the list calls it live and
-nothing that this process saw for itself says otherwise.
+The list decides which hosts are members; observations only take hosts out of
+use sooner than the list does. A host gets new work while it is listed as live
+and no observation of this process contradicts that.
 """
 
 from collections.abc import Iterable
@@ -17,16 +17,16 @@
 
 from bulrushgrade import errors
 
-# One failed call is common on a busy network and would cost an endpoint a
-# probe interval of work; three in a row are rarely chance.
+# A single failed call is common on a busy network and would cost an endpoint a
+# probe interval of work. Three in a row are rarely a coincidence.
 SILENT_AFTER_FAILURES = 3
-# How often a silent host may be tried again: often enough to have it back
-# within seconds, rare enough that callers do not pay for the tries.
+# Time between probes of a silent host: short enough to use it again within
+# seconds, long enough that the probes do not slow callers down.
 PROBE_PERIOD_S = 2.0
 
 
 class Kind(enum.Enum):
-    """What runs on a host."""
+    """The kind of process that runs on a host."""
 
     ENTRY = "entry"
     ENGINE = "engine"
@@ -34,7 +34,7 @@
 
 
 class State(enum.Enum):
-    """What this process makes of a host."""
+    """The state of a host by the list and this process's observations."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -43,7 +43,7 @@
 
 
 class ListedState(enum.Enum):
-    """What the list says of a host."""
+    """The state of a host in the host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -51,17 +51,17 @@
 
 @attrs.frozen(kw_only=True)
 class Host:
-    """One host as the list shows it.
+    """An entry of the host list.
 
     Attributes:
         address: IP:PORT, unique in the list.
-        kind: What runs there.
+        kind: The kind of process that runs there.
         service: The service it belongs to; empty for entry hosts.
         zone: Its availability zone.
         region: The region of the zone.
-        state: Whether it stays or is on its way out.
+        state: Whether it is live or leaving.
         peer: IP:PORT for other daemons; empty for endpoints.
-        fencing: Whether an engine refuses orders with an old fencing number.
+        fencing: Whether an engine refuses orders with an old fencing token.
     """
 
     address: str
@@ -76,10 +76,10 @@
 
 @attrs.frozen(kw_only=True)
 class HostList:
-    """One answer of the host list.
+    """One version of the host list.
 
     Attributes:
-        version: Goes up with each change.
+        version: A number that increases with each change.
         hosts: The hosts, in no particular order.
     """
 
@@ -88,29 +88,29 @@
 
 
 def parse_host_list(raw: bytes) -> Result[HostList, errors.BadHostList]:
-    """Returns the host list in the bytes of an answer."""
+    """Returns the host list parsed from an answer's bytes."""
     try:
         host_list = msgspec.json.decode(raw, type=HostList)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Failure(errors.BadHostList(reason=str(error)))
     addresses = {host.address for host in host_list.hosts}
     if len(addresses) != len(host_list.hosts):
-        return Failure(errors.BadHostList(reason="an address stands twice"))
-    # A list service that lost its state answers with nothing. Taking that at
-    # its word would withdraw the whole fleet, while a fleet that is truly
-    # empty serves nobody either way.
+        return Failure(errors.BadHostList(reason="duplicate address"))
+    # A list service that lost its state returns an empty list. Accepting it
+    # would withdraw the whole fleet, while a fleet that is really empty
+    # serves nobody either way.
     if not addresses:
-        return Failure(errors.BadHostList(reason="no hosts at all"))
+        return Failure(errors.BadHostList(reason="empty host list"))
     return Success(host_list)
 
 
 @attrs.frozen(kw_only=True)
 class Change:
-    """What a newer list changed.
+    """The difference between a list and its predecessor.
 
     Attributes:
         added: Addresses that were not listed before.
-        leaving: Addresses that are newly on their way out.
+        leaving: Addresses that are leaving and were not before.
         removed: Addresses that are no longer listed.
     """
 
@@ -121,7 +121,7 @@
 
 @attrs.define(kw_only=True)
 class _Observations:
-    """What this process saw of one host."""
+    """This process's own observations of one host."""
 
     failures: int = 0
     tried_at: float = -math.inf
@@ -129,7 +129,7 @@
 
 
 class Membership:
-    """The hosts that are known and what may be sent to them."""
+    """The known hosts and whether they may get new work."""
 
     def __init__(self):
         self._version: int | None = None
@@ -139,7 +139,7 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the list in force, or None before the first."""
+        """The version of the current list, or None before the first."""
         return self._version
 
     @property
@@ -158,11 +158,11 @@
     def accept(
         self, host_list: HostList, *, now: float
     ) -> Result[Change, errors.StaleHostList]:
-        """Puts a list in force, unless a newer one already is.
+        """Applies a list unless a newer one has been applied.
 
-        The list service has several servers, or a proxy before them, so two
-        reads in a row may come in the wrong order. Going back to the older
-        one would send work to a host that has been withdrawn.
+        The list service has several servers, or a proxy in front of them, so
+        two consecutive reads may arrive out of order. Applying the older list
+        would send work to a host that has been withdrawn.
         """
         if self._version is not None and host_list.version < self._version:
             return Failure(
@@ -188,27 +188,27 @@
         )
 
     def observe_answer(self, address: str, *, now: float) -> None:
-        """Notes that a host answered a call or a probe."""
+        """Records that a host answered a call or a probe."""
         observed = self._find_observations(address)
         observed.failures = 0
         observed.tried_at = now
 
     def observe_failure(self, address: str, *, now: float) -> None:
-        """Notes that a call or a probe got no answer."""
+        """Records that a call or a probe got no answer."""
         observed = self._find_observations(address)
         observed.failures += 1
         observed.tried_at = now
 
     def observe_refusing(self, address: str, *, refuses: bool) -> None:
-        """Notes whether a host itself says that it takes no new work.
+        """Records whether a host itself reports that it refuses new work.
 
-        Only the host's own word clears this again: a list that still calls
-        it live may just be late.
+        Only another report of the host clears this: a list that still has it
+        as live may just be outdated.
         """
         self._find_observations(address).refuses = refuses
 
     def get_state(self, address: str) -> State:
-        """Returns what this process makes of a host."""
+        """Returns the state of a host by the list and by observations."""
         host = self._hosts.get(address)
         if host is None:
             return State.GONE
@@ -224,13 +224,13 @@
         return self.get_state(address) is State.LIVE
 
     def is_probe_due(self, address: str, *, now: float) -> bool:
-        """Returns whether a silent host may be tried again."""
+        """Returns whether a silent host may be probed again."""
         if self.get_state(address) is not State.SILENT:
             return False
         return now - self._observations[address].tried_at >= PROBE_PERIOD_S
 
     def dump(self, *, now: float) -> dict[str, object]:
-        """Returns the view for a person, ready for JSON."""
+        """Returns the view for operators, ready for JSON."""
         return {
             "version": self._version,
             "age_s": None if self._version is None else self.get_age_s(now),
@@ -247,8 +247,8 @@
         }
 
     def _find_observations(self, address: str) -> _Observations:
-        # A late answer from a host that is no longer listed must not leave an
-        # entry behind for good.
+        # A late answer from a host that is no longer listed must not create a
+        # permanent entry.
         if address not in self._hosts:
             return _Observations()
         return self._observations.setdefault(address, _Observations())
@@ -263,5 +263,5 @@
 
 
 def select_live(hosts: Iterable[Host]) -> tuple[Host, ...]:
-    """Returns the hosts that the list calls live, in the order given."""
+    """Returns the hosts that are listed as live, in the given order."""
     return tuple(host for host in hosts if host.state is ListedState.LIVE)
--- a/packages/bulrushgrade/bulrushgrade/peerview.py
+++ b/packages/bulrushgrade/bulrushgrade/peerview.py
@@ -1,8 +1,8 @@
-"""What other daemons say of their loads, and how far it is believed.
+"""Messages between daemons about their loads, and the state kept of peers.
 
-Peers' messages make placement fresher and never truer: nothing that must
-hold rests on one. A lost, late or repeated message therefore costs a worse
-choice of endpoint and no more.
+Peers' messages only make placement decisions more current; no invariant
+depends on them. A lost, late or repeated message therefore costs at most a
+worse choice of endpoint.
 """
 
 from collections.abc import Iterable
@@ -17,20 +17,20 @@
 from bulrushgrade import publication
 from bulrushgrade import work
 
-# How many earlier incarnations of a peer are remembered, to drop messages of
-# a process that has been replaced. Late messages come within seconds, and no
-# host restarts eight times in that.
+# Number of earlier incarnations remembered per peer, to drop messages of a
+# process that has been replaced. Late messages arrive within seconds, in which
+# no host restarts eight times.
 MAX_RETIRED_INCARNATIONS = 8
 
 
 @attrs.frozen(kw_only=True)
 class Header:
-    """Where a message stands among its sender's messages.
+    """Identifies a message and its order among its sender's messages.
 
     Attributes:
-        sender: The sender's address as the host list shows it.
-        incarnation: A random number that the sender's process drew once.
-        sequence: Goes up with each message of the process.
+        sender: The sender's address in the host list.
+        incarnation: A random number that the sender's process chose at start.
+        sequence: A number that increases with each message of the process.
     """
 
     sender: str
@@ -40,18 +40,18 @@
 
 @attrs.frozen(kw_only=True)
 class Loads:
-    """What the sender has in flight; endpoints without any are left out.
+    """The sender's requests in flight; endpoints without any are omitted.
 
     The columns have equal lengths. Rows as objects would repeat every field
-    name and triple the bytes of the message that is sent most.
+    name and triple the size of the message that is sent most often.
 
     Attributes:
-        header: The place among the sender's messages.
+        header: The message header.
         endpoints: Addresses of endpoints.
         running: Requests in flight on each.
-        prefill_backlog_tokens: Prompt tokens that each has yet to read.
-        short_backlog_tokens: Those of the backlog that are read first.
-        kv_tokens: Tokens of KV cache that the requests take up on each.
+        prefill_backlog_tokens: Prompt tokens that each has yet to prefill.
+        short_backlog_tokens: The part of the backlog that is prefilled first.
+        kv_tokens: Tokens of KV cache that the requests use on each.
     """
 
     header: Header
@@ -64,11 +64,12 @@
 
 @attrs.frozen(kw_only=True)
 class Withdrawn:
-    """The endpoints that the sender places no new work on.
+    """The endpoints on which the sender places no new work.
 
     Attributes:
-        header: The place among the sender's messages.
-        endpoints: All of them, so that a lost message is mended by the next.
+        header: The message header.
+        endpoints: The complete list, so that the next message makes up for a
+            lost one.
     """
 
     header: Header
@@ -77,11 +78,11 @@
 
 @attrs.frozen(kw_only=True)
 class Demands:
-    """What callers have asked the sender for, for the plan of roles.
+    """The demand of the sender's callers, as input for the role plan.
 
     Attributes:
-        header: The place among the sender's messages.
-        demands: Counters since the sender's start, one entry a model.
+        header: The message header.
+        demands: Counters since the sender's start, one entry per model.
     """
 
     header: Header
@@ -90,10 +91,10 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotRequest:
-    """A starting daemon asks for the accepted documents.
+    """A request of a starting daemon for the accepted documents.
 
     Attributes:
-        header: The place among the sender's messages.
+        header: The message header.
     """
 
     header: Header
@@ -104,8 +105,8 @@
     """The accepted documents of a daemon.
 
     Attributes:
-        header: The place among the sender's messages.
-        snapshot: The state of its fold of the documents stream.
+        header: The message header.
+        snapshot: The state folded from the documents stream.
     """
 
     header: Header
@@ -121,7 +122,7 @@
 
 
 def make_loads(header: Header, loads: Iterable[work.PeerLoad]) -> Loads:
-    """Returns the message of some loads; idle endpoints are left out."""
+    """Returns a message with the given loads; idle endpoints are omitted."""
     busy = [x for x in loads if x != work.PeerLoad(endpoint=x.endpoint)]
     return Loads(
         header=header,
@@ -134,7 +135,7 @@
 
 
 def read_loads(message: Loads) -> tuple[work.PeerLoad, ...]:
-    """Returns the loads in a message, one an endpoint."""
+    """Returns the loads in a message, one per endpoint."""
     columns = zip(
         message.endpoints,
         message.running,
@@ -156,18 +157,19 @@
 
 
 def parse_message(raw: bytes) -> Result[Message, errors.BadRecord]:
-    """Returns the message in some bytes, or why there is none."""
+    """Returns the message parsed from bytes, or the reason for a failure."""
     try:
         parsed = CODEC.parse(raw)
     except (TypeError, RecursionError) as error:
-        # A kind that is no text, or brackets nested without end. Whatever can
-        # reach the peers' port could stop the daemon with one such message.
+        # The kind is not a text, or brackets are nested too deeply. Otherwise
+        # anything that can reach the peer port could crash the daemon with
+        # one such message.
         return Failure(errors.BadRecord(reason=str(error)))
     return parsed.bind(_check_columns)
 
 
 def serialize_message(message: Message) -> bytes:
-    """Returns the bytes of a message."""
+    """Returns a message serialized to bytes."""
     return CODEC.serialize(message)
 
 
@@ -181,15 +183,15 @@
     )
     if any(len(column) != len(message.endpoints) for column in checked):
         return Failure(errors.BadRecord(reason="columns of unequal length"))
-    # A load below zero would make a busy engine look idle to all its peers.
+    # A negative load would make a busy engine look idle to all peers.
     if any(value < 0 for column in checked for value in column):
-        return Failure(errors.BadRecord(reason="a load below zero"))
+        return Failure(errors.BadRecord(reason="negative load"))
     return Success(message)
 
 
 @attrs.define(kw_only=True)
 class _Peer:
-    """What is known of one sender."""
+    """The known state of one sender."""
 
     incarnation: int
     retired: tuple[int, ...] = ()
@@ -198,22 +200,22 @@
 
 
 class PeerView:
-    """How far each peer has been heard, and what it has withdrawn."""
+    """The newest message and the withdrawn endpoints of each peer."""
 
     def __init__(self):
         self._peers: dict[str, _Peer] = {}
 
     @property
     def senders(self) -> tuple[str, ...]:
-        """The peers that have been heard, sorted."""
+        """The peers that have sent a message, sorted."""
         return tuple(sorted(self._peers))
 
     def accept(self, message: State) -> Result[None, errors.StalePeerMessage]:
-        """Takes a message, unless a newer one has overtaken it.
+        """Accepts a message unless a newer one arrived before it.
 
-        Clocks of two hosts are never compared, so incarnations have no order
-        of their own: one that has not been seen is the newer, and one that
-        has been left behind stays behind.
+        Clocks of different hosts are never compared, so incarnations have no
+        inherent order: an unknown one is newer, and a replaced one stays
+        rejected.
         """
         header = message.header
         peer = self._peers.get(header.sender)
@@ -236,15 +238,15 @@
                 retired=retired[:MAX_RETIRED_INCARNATIONS],
             )
             self._peers[header.sender] = peer
-        # Counted a kind of message: a late one of one kind may still be the
-        # newest of its kind when the other kind has gone ahead.
+        # Sequence numbers are kept per kind of message: a late message may
+        # still be the newest of its kind when another kind is further ahead.
         peer.sequences[type(message)] = header.sequence
         if isinstance(message, Withdrawn):
             peer.withdrawn = frozenset(message.endpoints)
         return Success(None)
 
     def keep(self, senders: Iterable[str]) -> None:
-        """Forgets every peer but these."""
+        """Drops the state of all other peers."""
         kept = set(senders)
         self._peers = {s: p for s, p in self._peers.items() if s in kept}
 
@@ -253,9 +255,9 @@
     ) -> tuple[str, ...]:
         """Returns the peers that may still place work on an endpoint.
 
-        A peer that was never heard counts as placing: its silence is no
-        word. Its owner must bound the wait, since a peer that is cut off
-        never confirms; the endpoint's own refusal is what then protects.
+        A peer that has sent no message counts as unconfirmed. The caller must
+        bound the wait, since a disconnected peer never confirms; the endpoint
+        is then protected by its own refusal.
         """
         return tuple(
             sorted(
@@ -267,7 +269,7 @@
         )
 
     def dump(self) -> dict[str, object]:
-        """Returns the view for a person, ready for JSON."""
+        """Returns the view for operators, ready for JSON."""
         return {
             sender: {
                 "incarnation": peer.incarnation,
--- a/packages/bulrushgrade/bulrushgrade/retryshare.py
+++ b/packages/bulrushgrade/bulrushgrade/retryshare.py
@@ -1,9 +1,9 @@
-"""One daemon's share of a retry budget that all daemons draw on together.
+"""One daemon's share of a retry budget that all daemons have in common.
 
-The budget is a ratio of the requests of a sliding window plus a fixed number.
-Daemons do not ask each other before a retry. Each keeps to the ratio of its
-own requests and to its part of the fixed number; the sum of the shares is
-then never more than the whole, whichever daemons run and whoever hears whom.
+The budget is a ratio of the requests in a sliding window plus a fixed number.
+Daemons do not coordinate before a retry. Each stays within the ratio of its
+own requests and its part of the fixed number, so the sum of the shares never
+exceeds the budget, whichever daemons run or reach each other.
 """
 
 import collections
@@ -11,33 +11,34 @@
 import random
 
 RATIO_SAFETY_FACTOR = 0.9
-"""The part of the ratio that is used. Requests of a window are counted when
-they arrive here; who counts elsewhere may put its window's edge some requests
-away, so a tenth is left unused."""
+"""Fraction of the ratio that is used. Requests are counted in a window when
+they arrive here. A count taken elsewhere may place the window's edge some
+requests earlier or later, so a tenth is left unused."""
 
 
 BASE_RETRY_AFTER_S = 0.3
-"""The time in which a queue of an endpoint moves on by some requests; where
-more waits, the time in which that is done. Spread by half in both directions
-so that callers refused together do not return together."""
+"""Default retry delay: the time in which an endpoint's queue advances by some
+requests. A longer queue gives a longer delay, the time until it is done. The
+delay varies by half in both directions, so that callers refused together do
+not return together."""
 
 MAX_WAIT_FRACTION = 1 / 3
-"""Of the caller's time that a refusal asks it to wait at most; a caller does
-not wait longer, and needs the rest for its next try."""
+"""Maximum fraction of the caller's deadline that it is asked to wait. A caller
+does not wait longer, and needs the rest for its next try."""
 
 
 class RetryShare:
-    """Retries to one service that this daemon may still send."""
+    """Limits the retries that this daemon sends to one service."""
 
     def __init__(
         self, *, ratio: float, extra: Callable[[], float], window_s: float
     ):
-        """Makes a share with nothing spent.
+        """Creates a share without requests or retries.
 
         Args:
-            ratio: Retries for each request of the window.
-            extra: Returns this daemon's part of the retries a window beside;
-                it shrinks when more daemons are known.
+            ratio: Retries per request in the window.
+            extra: Returns this daemon's part of the fixed number of retries
+                per window, which decreases as more daemons are known.
             window_s: The length of the window in seconds.
         """
         self._ratio = ratio * RATIO_SAFETY_FACTOR
@@ -52,7 +53,7 @@
         self._drop_old(now)
 
     def spend(self, now: float) -> bool:
-        """Takes one retry, or returns False where none is left."""
+        """Uses one retry and returns True, or returns False if none is left."""
         self._drop_old(now)
         allowed = self._ratio * len(self._requests) + self._extra()
         if len(self._retries) + 1 > allowed:
@@ -70,12 +71,12 @@
 def choose_retry_after_s(
     deadline_s: float | None, rng: random.Random, *, queued_s: float = 0.0
 ) -> float:
-    """Returns in how many seconds a refused caller had better return.
+    """Returns after how many seconds a refused caller should retry.
 
     Args:
-        deadline_s: How long the caller waits in all, or None.
-        rng: Source of the spread.
-        queued_s: What waits where it would have gone.
+        deadline_s: How long the caller waits in total, or None.
+        rng: The source of the random variation.
+        queued_s: Queued work at the endpoint that would have been chosen.
     """
     after_s = max(BASE_RETRY_AFTER_S, queued_s) * rng.uniform(0.5, 1.5)
     if deadline_s is None:
--- a/packages/bulrushgrade/bulrushgrade/rolechange.py
+++ b/packages/bulrushgrade/bulrushgrade/rolechange.py
@@ -1,10 +1,10 @@
-"""One engine's change of role or model, from its last request to its next.
+"""The state machine of one engine's change of role or model.
 
-Nothing is placed on the engine any more; every daemon drops it from its view,
-or the engine itself refuses; what is in flight finishes; the order goes out
-by `order.OrderBook`; the engine is seen to be through with it; and load comes
-back slowly. No request is cut on the way: the order is only proposed to an
-engine that is empty and that nobody can fill.
+Placement on the engine stops. Every daemon drops it from its view, or the
+engine itself refuses new work. Requests in flight finish, the order goes out
+by `order.OrderBook`; the engine is observed to have carried it out, and load
+returns gradually. No request is cut off: the order is proposed only for an
+engine that is empty and that nobody can place work on.
 """
 
 import enum
@@ -17,7 +17,7 @@
 
 
 class Action(enum.Enum):
-    """What the owner has to do next for a role change."""
+    """The action that the owner of a role change must take next."""
 
     ASK_DRAIN = "ask the engine to refuse new work"
     PROPOSE = "propose the order of `RoleChange.target`"
@@ -25,19 +25,21 @@
 
 @attrs.frozen(kw_only=True)
 class RoleChangeTimes:
-    """Times of a role change, in seconds.
+    """Time limits of a role change, in seconds.
 
     Attributes:
-        drop_limit_s: How long daemons may take to drop the engine. Past it
-            the engine is asked to refuse instead, or the change is aborted
-            where it can't: a daemon that is silent may still place on it.
-        drain_limit_s: How long an engine that can't refuse may stay away with
-            work in flight before it is placed on again; work that refuses to
-            end must not cost the group the engine's idle capacity for long.
-        order_limit_s: How long an order may take before it counts as overdue.
-        retry_s: Time between two requests to drain.
-        slow_start_s: Time over which load comes back; the prompt cache is
-            cold, and a full share at once would make all of it late.
+        drop_limit_s: How long daemons may take to drop the engine. After
+            that the engine is asked to refuse new work instead, or the change
+            is aborted if it can't refuse, since a daemon that does not
+            respond may still place work on it.
+        drain_limit_s: How long an engine that can't refuse may be drained
+            before it is used again. Work that does not end must not cost the
+            group the engine's idle capacity for long.
+        order_limit_s: How long an order may take before it is overdue.
+        retry_s: Interval between two drain requests.
+        slow_start_s: Time over which load returns to its full share. The
+            prompt cache is cold, and a full share at once would make all of
+            it late.
     """
 
     drop_limit_s: float = 5.0
@@ -53,9 +55,9 @@
 
     Attributes:
         refusing: Whether it refuses new work.
-        requests: Running and queued.
-        measured_at: When it was measured, by this process's clock: the time
-            of receipt less the age that the report gives.
+        requests: Running and queued requests.
+        measured_at: Time of the measurement by this process's clock: the time
+            of receipt minus the age stated in the report.
     """
 
     refusing: bool
@@ -68,10 +70,10 @@
         """Returns the phase's name."""
 
     def released(self) -> None:
-        """Nobody can place on the engine any more."""
+        """No daemon can place work on the engine any more."""
 
     def emptied(self) -> None:
-        """Nothing is in flight on it."""
+        """No requests are in flight on the engine."""
 
     def ended(self) -> None:
         """The order's outcome is on the log."""
@@ -80,10 +82,10 @@
         """The slow start is over."""
 
     def aborted(self) -> None:
-        """The engine is placed on again as it was."""
+        """The change is aborted; the engine is used again as it was."""
 
     def handed_over(self) -> None:
-        """The order is the next holder's."""
+        """The next lease holder takes over the order."""
 
 
 def _build_phases():
@@ -133,15 +135,15 @@
         times: RoleChangeTimes,
         now: float,
     ):
-        """Starts a change; placing on the engine stops with it.
+        """Starts a change and stops placement on the engine.
 
         Args:
             engine: The engine's address.
-            before: What the engine is.
-            wanted: What it is to be.
-            can_refuse: Whether the engine knows how to refuse new work.
-            times: The times of the change.
-            now: The present time.
+            before: The engine's present role and model.
+            wanted: The role and model to change to.
+            can_refuse: Whether the engine can be asked to refuse new work.
+            times: Time limits of the change.
+            now: The current time.
         """
         self._engine = engine
         self._before = before
@@ -166,26 +168,26 @@
 
     @property
     def target(self) -> orderlog.Wanted:
-        """What to order: what was wanted, or the way back after an abort."""
+        """The role and model to order; the former ones after an abort."""
         return self._target
 
     @property
     def phase(self) -> str:
-        """The phase's name, from ``releasing`` to ``done``."""
+        """The name of the phase, from ``releasing`` to ``done``."""
         return self._phase.name()
 
     @property
     def outcome(self) -> orderlog.Wanted | None:
-        """What the engine was seen to be after the order."""
+        """The engine's observed role and model after the order, if known."""
         return self._outcome
 
     @property
     def over(self) -> bool:
-        """Whether nothing is left to do here."""
+        """Whether the change has ended, in any way."""
         return self.phase in ("done", "aborted", "handed over")
 
     def share(self, now: float) -> float:
-        """Returns the part of its usual load that may be placed, 0 to 1."""
+        """Returns the fraction of the usual load that may be placed, 0 to 1."""
         phase = self.phase
         if phase in ("done", "aborted"):
             return 1.0
@@ -194,10 +196,11 @@
         return min(1.0, (now - self._phase_since) / self._times.slow_start_s)
 
     def overdue(self, now: float) -> bool:
-        """Whether a phase takes longer than it should, for the operators.
+        """Returns whether the phase exceeds its time limit, for operators.
 
-        An engine that refuses already, or has an order, is waited for all the
-        same: its requests would be cut, or its order left half done.
+        The change still waits for an engine that refuses already or has an
+        order. Otherwise its requests would be cut off, or its order would be
+        left unfinished.
         """
         limits_s = {
             "releasing": self._times.drop_limit_s,
@@ -208,39 +211,44 @@
         return limit_s is not None and now >= self._phase_since + limit_s
 
     def note_views(self, *, all_dropped: bool, now: float) -> None:
-        """Takes whether every known daemon says that it dropped the engine."""
+        """Records whether all known daemons report to have dropped the engine.
+
+        Args:
+            all_dropped: Whether they do.
+            now: The current time.
+        """
         if not all_dropped:
             self._dropped_at = None
         elif self._dropped_at is None:
             self._dropped_at = now
 
     def note_in_flight(self, count: int) -> None:
-        """Takes the daemons' own count of requests on the engine."""
+        """Records the daemons' own count of requests on the engine."""
         self._in_flight = count
 
     def note_load(self, load: Load) -> None:
-        """Takes the engine's report of its own work."""
+        """Records the engine's report of its own work."""
         self._load = load
         self._refusing = load.refusing
         if not load.refusing:
             self._refusing_at = None
 
     def note_proposed(self) -> None:
-        """Notes that the order was proposed; its intent is on its way."""
+        """Records that the order was proposed, with its intent on the way."""
         self._proposed = True
 
     def note_outcome(self, seen: orderlog.Wanted, now: float) -> None:
-        """Takes what the engine was seen to be once its order was over."""
+        """Records the role and model observed after the order has ended."""
         if self.phase == "ordering":
             self._outcome = seen
             self._phase.ended()
             self._phase_since = now
 
     def abort(self, now: float) -> None:
-        """Gives the change up, where that is still possible.
+        """Aborts the change if that is still possible.
 
-        An engine that refuses new work takes it again only after an order;
-        so the order goes on, for what the engine was before.
+        An engine that refuses new work accepts it again only after an order,
+        so the order is then given for its former role and model.
         """
         phase = self.phase
         if phase not in ("releasing", "emptying") and (
@@ -253,16 +261,16 @@
             self._move(self._phase.aborted, now)
 
     def hand_over(self, now: float) -> None:
-        """Notes that authority is lost; the next holder sees to the engine.
+        """Ends the change here because the lease was lost.
 
-        An intent on the log is adopted there; an engine that was asked to
-        drain shows it in its report.
+        The next holder continues: it adopts an intent that is on the log, and
+        an engine that was asked to drain says so in its report.
         """
         if self.phase in ("releasing", "emptying", "ordering"):
             self._move(self._phase.handed_over, now)
 
     def tick(self, now: float) -> Action | None:
-        """Moves on, and returns what the owner has to do now."""
+        """Advances the phase and returns the action to take now, if any."""
         if self._refusing and self._refusing_at is None:
             self._refusing_at = now
         if self.phase == "releasing":
@@ -280,8 +288,8 @@
         asks = self._can_refuse and not self._refusing
         if phase not in ("releasing", "emptying") or not asks:
             return None
-        # Drain is asked for when the daemons have dropped the engine, so that
-        # few requests bounce; or when one is silent for too long.
+        # The engine is asked to drain once all daemons have dropped it, so that
+        # it refuses few requests, or when a daemon has not confirmed in time.
         if phase == "releasing" and not self._is_drop_overdue(now):
             return None
         if self._drain_requested_at is not None and (
@@ -309,9 +317,9 @@
     def _is_empty(self) -> bool:
         if self._load is None or self._load.requests or self._in_flight:
             return False
-        # An engine's state is of now, its figures lag. A count from before it
-        # refused, or before the last daemon dropped it, says nothing of what
-        # was placed on it just then; a later one can only fall.
+        # An engine's state is current while its counts lag. A count taken
+        # before it refused, or before the last daemon dropped it, may miss
+        # requests placed in between. A later count can only decrease.
         since = self._refusing_at if self._can_refuse else self._dropped_at
         return since is not None and self._load.measured_at >= since
 
--- a/packages/bulrushgrade/bulrushgrade/roleplan.py
+++ b/packages/bulrushgrade/bulrushgrade/roleplan.py
@@ -1,11 +1,12 @@
-"""When an engine should change its role.
-
-Load: long reading and short chat trade places within minutes, on a fixed
-fleet whose engines are away for seconds when they change. Harm: roles that
-follow each swing cost engine time in every swing and arrive when it is over;
-roles that never change leave engines idle beside a queue. The plan weighs
-each possible change against the demand of the recent past, swings included:
-a fleet that serves what has been seen needs no change when it comes again.
+"""Decides when an engine changes its role.
+
+The mix of long prompts and short chats shifts within minutes, while the fleet
+is fixed and an engine is out of service for seconds when it changes. Roles
+that follow every swing cost engine time each time and arrive when the swing
+is over; roles that never change leave engines idle beside a queue. The plan
+therefore evaluates each possible change against the demand of the recent
+past, swings included: a fleet that can serve all of it needs no change when
+the same demand returns.
 """
 
 import collections
@@ -16,68 +17,70 @@
 from bulrushgrade import work
 
 BUCKET_S = 10.0
-"""Demand is added up over so many seconds: about what a queue of long
-readings absorbs, so that a shorter burst is no reason for a change."""
+"""Length of the buckets in which demand is summed. A queue of long prompts
+absorbs a burst of about this length, so a shorter one justifies no change."""
 
 HISTORY_S = 240.0
-"""How far back demand counts: a few swings of the mix."""
+"""How long demand is taken into account: a few swings of the mix."""
 
 MIN_BUCKETS = 3
-"""Full buckets before the first change: one could be a burst, and caches that
-are still cold make reading look dearer than it will be."""
+"""Full buckets required before the first change. A single one could be a
+burst, and cold caches make prefill look more expensive than it will be."""
 
 RECENT_BUCKETS = 3
-"""Buckets of the short window: a change must help in each of them as well as
-over the long one, else it would come for a swing that is already over."""
+"""Buckets of the short window. A change must help in each of them and over the
+whole history; otherwise it would answer a swing that is already over."""
 
 HORIZON_S = 120.0
-"""How long a change is trusted to help: past it the mix is anyone's guess."""
+"""Time over which the gain of a change is counted. The mix can't be predicted
+beyond it."""
 
 MAX_UTILIZATION = 0.95
-"""Part of an engine's time that can be used while answers stay in time; the
-rest is waiting for work that has not arrived."""
+"""Fraction of an engine's time that can be used while answers stay in time. In
+the rest it waits for work to arrive."""
 
 USABLE_MEMORY_FRACTION = 0.7
-"""Part of the KV memory that can be used: it is given out in pieces of whole
-prompts, and promised while a prompt is still being read elsewhere."""
+"""Fraction of the KV memory that can be used. Memory is allocated for whole
+prompts, and reserved while another engine is still prefilling a prompt."""
 
 MIXED_EFFICIENCY = 0.9
-"""What a mixed engine gets done against two that keep to one kind: its
-reading goes in chunks beside its answers."""
+"""Throughput of a mixed engine relative to engines with a single role. It runs
+prefill in chunks interleaved with decoding."""
 
 GAIN_FACTOR = 1.5
-"""How much more than its price a change must gain: the gain is an estimate,
-and a change that proves wrong is paid for twice, there and back."""
+"""Required ratio of a change's gain to its cost. The gain is an estimate, and a
+wrong change costs twice, since it has to be reverted."""
 
 CHANGE_S = 15.0
-"""Seconds of an engine that a change takes: its drain, in which it empties,
-the change itself, and the refilling of its prefix cache."""
+"""Engine seconds that a change costs: draining, the change itself, and
+refilling the prefix cache."""
 
 MIN_DWELL_S = 40.0
-"""An engine that has just changed stays: each change drops its cache."""
+"""Minimum time between two changes of one engine, since each change drops its
+cache."""
 
 MIN_CHANGE_INTERVAL_S = 10.0
-"""Between two changes of a group: the effect of the first must show in the
-demand and loads before the next is judged."""
+"""Minimum time between two changes in a group. The effect of the first must
+show in demand and loads before the next is evaluated."""
 
 MAX_CHANGE_S = 90.0
-"""A change that takes longer than this, drain included, has failed."""
+"""A change that takes longer than this, draining included, has failed."""
 
 MAX_VIEW_AGE_S = 3.0
-"""A view that is older is not acted on: its engines may be gone, and a
-change would take one more from a fleet that already lost one."""
+"""Maximum age of a view that is acted on. Engines of an older one may be gone,
+and a change would take another engine out of a fleet that already lost one."""
 
 
 @attrs.frozen(kw_only=True)
 class GroupView:
-    """A group of engines of one model, as the holder of its lease sees it.
+    """A group of engines of one model, as seen by the holder of its lease.
 
     Attributes:
         at: When the view was last confirmed.
-        endpoints: All its engines, whatever their state.
-        running: Requests at each address, if known.
-        prefill_tokens_per_s: What one engine reads.
-        decode_tokens_per_s: What one engine generates.
+        endpoints: All engines of the group in any state.
+        running: Running requests by address, where known.
+        prefill_tokens_per_s: Prefill throughput of one engine.
+        decode_tokens_per_s: Decode throughput of one engine.
     """
 
     at: float
@@ -89,13 +92,13 @@
 
 @attrs.frozen(kw_only=True)
 class RoleChange:
-    """An order that the plan asks for.
+    """A role change that the plan proposes.
 
     Attributes:
         endpoint: The engine's address.
-        role: The wanted role.
+        role: The role to change to.
         gain_s: Engine seconds that the change should save over the horizon.
-        cost_s: Its weighted price in engine seconds.
+        cost_s: Weighted cost of the change in engine seconds.
     """
 
     endpoint: str
@@ -106,7 +109,7 @@
 
 @attrs.frozen
 class _Split:
-    """How many engines have each role."""
+    """The number of engines in each role."""
 
     prefill: int
     decode: int
@@ -119,11 +122,11 @@
         return _Split(**counts)
 
     def unserved_engines(self, reading: float, answering: float) -> float:
-        """Returns the engines' worth of demand that is not served.
+        """Returns how many more engines the demand would need.
 
         Args:
-            reading: Demand in engines that only read.
-            answering: Demand in engines that only answer.
+            reading: Prefill demand in units of prefill engines.
+            answering: Decode demand in units of decode engines.
         """
         over = max(0.0, reading - self.prefill)
         over += max(0.0, answering - self.decode)
@@ -133,8 +136,8 @@
 class RolePlan:
     """Decides on the role changes of one group.
 
-    Only the holder of the group's lease asks it; a new holder starts with an
-    empty history and so changes nothing for `MIN_BUCKETS` buckets.
+    It is used only by the holder of the group's lease. A new holder starts
+    with an empty history and so changes nothing for `MIN_BUCKETS` buckets.
     """
 
     def __init__(
@@ -144,17 +147,17 @@
         role_change_weight: float = 1.0,
         floor: int = 2,
     ):
-        """Makes a plan.
+        """Creates a plan with an empty history.
 
         Args:
-            goodput_weight: Worth of an engine second of useful work.
-            role_change_weight: Price of an engine second spent on a change.
-            floor: Engines in service that can read, and that can answer, at
-                least; half the engines in a smaller group. With two, the
-                loss of one leaves callers slow and not without an answer.
+            goodput_weight: Value of an engine second of useful work.
+            role_change_weight: Cost of an engine second spent on a change.
+            floor: Minimum number of engines that can prefill, and that can
+                decode; half of the engines in a smaller group. With two, the
+                loss of one slows answers down but does not stop them.
         """
-        # The engine seconds of a change are lost work whoever weighs them;
-        # the document's weight for role changes comes on top.
+        # The engine seconds of a change are lost work under any weights. The
+        # document's weight for role changes is added to them.
         self._cost_s = CHANGE_S * (1.0 + role_change_weight / goodput_weight)
         self._floor = floor
         self._last_demands: dict[str, work.Demand] = {}
@@ -163,13 +166,13 @@
         self._last_change = -1e9
 
     def observe(self, host: str, demand: work.Demand, now: float) -> None:
-        """Takes in a host's demand so far.
+        """Records a host's demand counters.
 
         Args:
             host: The host.
-            demand: Its counters since its start; smaller ones than before
-                mean that it started anew.
-            now: The present time.
+            demand: Its counters since its start. Counters that decrease mean
+                that the host has restarted.
+            now: The current time.
         """
         before = self._last_demands.get(host)
         self._last_demands[host] = demand
@@ -187,11 +190,11 @@
         bucket[4] += demand.lost_s - before.lost_s
 
     def propose(self, view: GroupView, now: float) -> RoleChange | None:
-        """Returns the change that pays best, or None.
+        """Returns the change with the highest gain, or None.
 
         Args:
-            view: The group; it is not acted on when it is stale.
-            now: The present time.
+            view: The group. A stale view is not acted on.
+            now: The current time.
         """
         if (
             now - view.at > MAX_VIEW_AGE_S
@@ -231,14 +234,14 @@
         return best
 
     def note_change(self, change: RoleChange, now: float) -> None:
-        """Notes that a proposed change was ordered."""
+        """Records that a proposed change was ordered."""
         self._last_change = now
         self._changed_at[change.endpoint] = now
 
     def _demands(
         self, view: GroupView, now: float
     ) -> list[tuple[float, float, float]]:
-        """Demand and loss of the full buckets in engines, the newest last."""
+        """Returns demand and loss per full bucket in engines, oldest first."""
         found = []
         per_s = 1.0 / (BUCKET_S * MAX_UTILIZATION)
         memory = min((e.kv_capacity_tokens for e in view.endpoints), default=0)
@@ -247,8 +250,8 @@
                 continue
             reading = read * per_s / view.prefill_tokens_per_s
             answering = answered * per_s / view.decode_tokens_per_s
-            # Answers to long prompts fill an engine's memory long before its
-            # time: by tokens alone one engine would seem to be enough.
+            # Long prompts exhaust an engine's memory long before its time is
+            # used up. By tokens alone one engine would seem to be enough.
             if memory:
                 held_part = held / BUCKET_S / (USABLE_MEMORY_FRACTION * memory)
                 answering = max(answering, held_part)
@@ -262,7 +265,7 @@
         running: dict[str, float],
         now: float,
     ) -> str | None:
-        """The engine of a role that a change would disturb least."""
+        """Returns the least loaded engine of a role that may change."""
         free = [
             (running.get(e.address, 0.0), e.address)
             for e in serving
@@ -279,11 +282,11 @@
         return min(readers, answerers) < floor
 
     def _is_change_running(self, view: GroupView, now: float) -> bool:
-        """Whether an engine is still away for a change.
+        """Returns whether an engine is out of service for a change.
 
-        An engine that is leaving for good must not hold up the plan until
-        the host list forgets it: only those that were ordered to change, or
-        say that they are changing, count.
+        Only engines that were ordered to change or report that they are
+        changing count. An engine that is leaving for good must not block the
+        plan until the host list drops it.
         """
         return any(
             _is_in_state(e, work.EndpointState.CHANGING)
@@ -313,8 +316,8 @@
     after: _Split,
     demands: list[tuple[float, float, float]],
 ) -> float:
-    # What was not lost can't be regained: the loss that callers met bounds
-    # what the model of the fleet says, which knows no queues and no caches.
+    # The loss that callers observed bounds the modelled gain, since the model
+    # of the fleet has neither queues nor caches.
     gains = [
         min(
             before.unserved_engines(reading, answering)
--- a/packages/bulrushgrade/bulrushgrade/routing.py
+++ b/packages/bulrushgrade/bulrushgrade/routing.py
@@ -1,7 +1,7 @@
-"""Which service a request goes to: a versioned configuration of routes.
+"""Routes requests to services by a versioned configuration.
 
-A configuration is always replaced as a whole. Requests look up the route
-whose host name is theirs and whose path prefix is the longest that fits.
+A configuration is always replaced as a whole. A request uses the route that
+has its host name and the longest matching path prefix.
 """
 
 import enum
@@ -13,25 +13,25 @@
 from bulrushgrade import workspaces as workspaces_module
 
 LONG_PROMPT_FRACTION = 1 / 400
-"""Of an engine's memory, from which on a prompt or its shared parts count as
-long: worth keeping in one place, and worth a query before they are placed. A
-few hundred of them fill a memory, so that parts push each other out; reading
-one takes longer than the query."""
+"""Fraction of an engine's memory from which on a prompt or its shared parts
+count as long. Long parts are worth keeping on one engine and worth a query to
+other hosts before placement: a few hundred of them fill the memory and evict
+each other, and prefilling one takes longer than the query."""
 
 LOWEST_URGENCY = 9
-"""The largest urgency that engines know: that of work which lets all other go
-first."""
+"""The largest urgency number that engines support, used for work that yields to
+all other work."""
 
 MIN_PATIENCE_S = 2.0
 PATIENCE_TARGETS = 4.0
 PATIENCE_GAPS = 8.0
-"""How long callers of a stream wait for the next event before they leave: two
-seconds, four targets or eight gaps, whichever is longest. The users' callers
-do so; an event that comes later reaches nobody."""
+"""How long callers of a stream wait for the next event before they disconnect:
+two seconds, four latency targets or eight gaps, whichever is longest. The
+users' callers behave so; a later event reaches nobody."""
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request whose outcome is unknown."""
+    """How a request with an unknown outcome may be repeated."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -44,7 +44,7 @@
 
     Attributes:
         service: The service's name.
-        weight: Its share of the route's requests, relative to the others.
+        weight: Its relative share of the route's requests.
     """
 
     service: str
@@ -53,20 +53,21 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """One route.
+    """The rules for requests with one host name and path prefix.
 
     Attributes:
-        name: For logs.
-        hostname: The host name that requests carry, in small letters.
-        path_prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        resumable: Whether a broken stream may go on at another endpoint.
-        timeout_s: The longest that a caller is kept waiting.
-        target_s: Answers (streams: first events) after this are late.
+        name: The name used in logs.
+        hostname: The host name of requests, in lower case.
+        path_prefix: A prefix that begins and ends with a slash.
+        kind: How requests may be repeated.
+        resumable: Whether a broken stream may continue at another endpoint.
+        timeout_s: The longest time that a caller is kept waiting.
+        target_s: Time after which an answer, or a stream's first event, is
+            late.
         gap_s: The longest pause between events that is not late, or None.
-        priority: 0 is the most urgent.
-        max_attempts: Endpoints that one request may be run on.
-        by_prompt: Whether requests tell which parts their prompt has.
+        priority: The priority of requests; 0 is the most urgent.
+        max_attempts: The number of endpoints that one request may run on.
+        by_prompt: Whether requests state the parts of their prompt.
         targets: The services, at least one.
         is_public: Whether requests need no key.
     """
@@ -87,7 +88,7 @@
 
     @property
     def urgency(self) -> int:
-        """The priority as engines know it; the least is for late work."""
+        """The priority for engines, whose lowest is reserved for late work."""
         return min(self.priority, LOWEST_URGENCY - 1)
 
     @property
@@ -111,15 +112,16 @@
 
 @attrs.frozen(kw_only=True)
 class EngineTraits:
-    """What all engines of a service have in common.
+    """Properties that all engines of a service share.
 
     Attributes:
-        slots: Requests that one engine runs at a time.
-        memory_tokens: Tokens that fit an engine's memory.
-        token_bytes: Bytes of KV cache a token.
-        link_bytes_per_s: What an engine's link carries.
-        kv_handle_ttl_s: How long an engine keeps a prompt read for another.
-        stage_change_s: How long a change of role takes.
+        slots: Requests that one engine runs concurrently.
+        memory_tokens: Tokens that fit into an engine's KV cache.
+        token_bytes: KV cache bytes per token.
+        link_bytes_per_s: Bandwidth of an engine's network link.
+        kv_handle_ttl_s: How long an engine keeps the KV cache of a prompt that
+            it prefilled for another engine.
+        stage_change_s: Duration of a change between prefill and decode.
         event_tokens: Tokens in one event of a stream.
     """
 
@@ -133,19 +135,19 @@
 
     @property
     def long_tokens(self) -> float:
-        """Tokens from which on a prompt or a part counts as long."""
+        """The number of tokens from which on a prompt or part is long."""
         return LONG_PROMPT_FRACTION * self.memory_tokens
 
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A service with its endpoints' common limits.
+    """A service with the limits that its endpoints share.
 
     Attributes:
-        name: The name that routes and endpoints carry.
-        max_connections: Connections that one endpoint takes from all callers.
-        engine: What its engines have in common; None for a plain service.
-        scaling: How many engines may be ordered, or None.
+        name: The name used by routes and endpoints.
+        max_connections: Connections that one endpoint accepts from all callers.
+        engine: Shared properties of its engines; None for a plain service.
+        scaling: Limits on ordering engines, or None.
     """
 
     name: str
@@ -156,13 +158,13 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """What a caller may send and how long it may take.
+    """Limits on the size and timing of callers' requests.
 
     Attributes:
-        max_header_bytes: All headers of a request together.
-        max_body_bytes: The largest body.
+        max_header_bytes: Maximum total size of a request's headers.
+        max_body_bytes: Maximum size of a body.
         header_timeout_s: How long a caller may take to send its headers.
-        idle_timeout_s: When a connection without a request is closed.
+        idle_timeout_s: Time after which an idle connection is closed.
     """
 
     max_header_bytes: int
@@ -173,14 +175,14 @@
 
 @attrs.frozen(kw_only=True)
 class Configuration:
-    """Everything that operators publish, as one version.
+    """One version of everything that operators publish.
 
     Attributes:
-        version: Only ever grows.
+        version: A version number that only increases.
         routes: The routes.
         services: The services by name.
-        limits: What callers may do.
-        keys: Whose requests are taken; None where no request needs a key.
+        limits: Limits on callers.
+        keys: The known API keys; None if no request needs a key.
     """
 
     version: int
@@ -192,13 +194,13 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceLimits:
-    """What all routes to a service together allow.
+    """Limits combined over all routes to a service.
 
     Attributes:
-        max_target_s: The longest time in which an answer is not late.
-        min_gap_s: The shortest of the longest pauses between events that
-            are not late; None where no route names one.
-        lowest_urgency: The urgency of the least urgent route.
+        max_target_s: The longest latency target.
+        min_gap_s: The shortest allowed pause between events; None if no route
+            limits it.
+        lowest_urgency: The urgency of the least urgent route or workspace.
     """
 
     max_target_s: float = 0.0
@@ -210,13 +212,13 @@
 
 
 class RouteTable:
-    """Finds the route of a request, in time independent of the routes."""
+    """Finds the route of a request, in time independent of their number."""
 
     def __init__(self, *, configuration: Configuration):
         self._configuration = configuration
         self._by_host: dict[str, dict[str, Route]] = {}
         self._limits: dict[str, ServiceLimits] = {}
-        # By route and workspace priority.
+        # Routes with a workspace's priority, by route name and priority.
         self._by_priority: dict[tuple[str, int], Route] = {}
         for route in configuration.routes:
             prefixes = self._by_host.setdefault(route.hostname, {})
@@ -225,19 +227,19 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration that the table was made from."""
+        """The configuration that the table was built from."""
         return self._configuration
 
     def limits(self, service: str) -> ServiceLimits:
-        """Returns what all routes to a service together allow."""
+        """Returns the limits combined over all routes to a service."""
         return self._limits.get(service, NO_LIMITS)
 
     def find(self, hostname: str, path: str) -> Route | None:
         """Returns the route with the longest prefix of a path, or None.
 
         Args:
-            hostname: As the request carries it, a port included or not.
-            path: Without the query.
+            hostname: The host name of the request, with or without a port.
+            path: The path without the query.
         """
         prefixes = self._by_host.get(_normalize(hostname))
         if prefixes is None:
@@ -253,11 +255,11 @@
     def with_workspace_priority(
         self, route: Route, workspace: workspaces_module.Workspace | None
     ) -> Route:
-        """Returns a route with the priority that a workspace's requests have.
+        """Returns a route with the priority of a workspace.
 
         Args:
-            route: One of this table.
-            workspace: Whose request it is, or None.
+            route: A route of this table.
+            workspace: The workspace that the request belongs to, or None.
         """
         if workspace is None or workspace.priority in (None, route.priority):
             return route
@@ -290,7 +292,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Returns the service that a request goes to, by the route's weights."""
+    """Returns a random service of a route, by the weights of its targets."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/packages/bulrushgrade/bulrushgrade/stagechanges.py
+++ b/packages/bulrushgrade/bulrushgrade/stagechanges.py
@@ -1,12 +1,12 @@
-"""Engines that were told a moment ago to change their role.
+"""Tracks engines that were recently ordered to change their stage.
 
-Load: an engine changes from generating to reading while requests for it come
-to every host. Harm: it turns all work away for seconds, and when it is back,
-hosts that have not read its new record send it what it can't do any more,
-which ends prompts that have one attempt. So the host that orders tells the
-others, and each leaves the engine alone until it has read the record with the
-new role. It is not used by the time that a change takes: running work may
-delay the change, and what was sent too early is rejected as well.
+While an engine changes from decode to prefill, it rejects all work for
+seconds. When it is back, hosts that have not yet read its new record would
+send it requests that it can't serve any more, which fails prompts that have a
+single attempt. Therefore the host that orders a change tells the others, and
+each host excludes the engine until it has read the record with the new stage.
+The duration of a change alone is not a safe limit: running work may delay the
+change, and requests sent too early are rejected as well.
 """
 
 from collections.abc import Iterable
@@ -16,9 +16,9 @@
 from bulrushgrade import directory
 
 RECORD_LAG_S = 4.0
-"""After the time that a change takes, until when running work should have
-ended and the engine's record be read everywhere. An engine whose record still
-tells the old role then did not change."""
+"""Time after the duration of a change by which running work should have ended
+and every host should have read the engine's record. An engine whose record
+still has the old stage then did not change."""
 
 
 @attrs.frozen(kw_only=True)
@@ -28,7 +28,7 @@
 
 
 class StageChanges:
-    """The changes that this daemon was told of."""
+    """The stage changes that this daemon was told of."""
 
     def __init__(self):
         self._changes: dict[tuple[str, int], _Change] = {}
@@ -41,13 +41,13 @@
         change_s: float,
         now: float,
     ) -> None:
-        """Notes that an engine changes.
+        """Records that an engine changes its stage.
 
         Args:
-            engine: The engine, as it is known now.
-            stage: Its new role.
-            change_s: How long the change takes by itself.
-            now: The present time in seconds.
+            engine: The engine as known now.
+            stage: Its new stage.
+            change_s: Duration of the change itself.
+            now: The current time in seconds.
         """
         ends_at = now + change_s + RECORD_LAG_S
         change = _Change(stage=stage, ends_at=ends_at)
@@ -56,11 +56,11 @@
     def exclude_changing(
         self, engines: Iterable[directory.Registration], now: float
     ) -> list[directory.Registration]:
-        """Returns the engines that are not changing."""
+        """Returns the engines that are not changing their stage."""
         return [e for e in engines if not self._is_changing(e, now)]
 
     def forget(self, now: float) -> None:
-        """Drops changes that records tell of by now."""
+        """Drops changes that all hosts should know from records by now."""
         for incarnation, change in list(self._changes.items()):
             if now >= change.ends_at:
                 del self._changes[incarnation]
--- a/packages/bulrushgrade/bulrushgrade/stageplan.py
+++ b/packages/bulrushgrade/bulrushgrade/stageplan.py
@@ -1,13 +1,13 @@
-"""When an engine should change between reading prompts and generating.
-
-Load: the mix of long prompts and long answers moves, or engines of one role
-are lost, so that one side is short of engines while the other has room. Harm:
-prompts wait and are refused, or streams stand still and are preempted, with
-idle engines beside. A change takes an engine away for seconds, so it is made
-only for a pressure that outlasts it, and only where the other side will still
-have room without the engine: it goes both ways, and the room that one way asks
-for is less than what the other way calls crowded, so that no engine goes back
-and forth.
+"""Decides when an engine changes between prefill and decode.
+
+When the mix of long prompts and long answers shifts, or engines of one stage
+are lost, one stage is short of engines while the other has spare capacity.
+Prompts then wait and are refused, or streams stall and are preempted, beside
+idle engines. A change takes an engine out of service for seconds. It is made
+only for a load that lasts longer, and only if the other stage keeps spare
+capacity without the engine. The saturation allowed in the stage that gives an
+engine up is well below the one at which that stage asks for an engine, so
+that no engine changes back and forth.
 """
 
 import math
@@ -17,55 +17,57 @@
 from bulrushgrade import directory
 
 PREFILL_WAIT_THRESHOLD = 0.5
-"""Mean wait at the engines that read, in targets of the slowest route, from
-which on there are too few of them: half of the time to a first event is gone
-before its prompt is read."""
+"""Mean wait at the prefill engines, in latency targets of the slowest route,
+above which there are too few of them. At 0.5, half of the time to the first
+event has passed before prefill starts."""
 
 SATURATION_THRESHOLD = 0.8
-"""Mean saturation of the engines that generate from which on there are too few
-of them: what is known is a moment old, and streams grow while they run."""
+"""Mean saturation of the decode engines above which there are too few of them.
+It is below 1 because the known state is slightly old and streams use more
+memory while they run."""
 
 MAX_REMAINING_SATURATION = SATURATION_THRESHOLD / 2
-"""Mean saturation that the engines that go on generating may have without the
-one that changes: a burst doubles what is generated."""
+"""Maximum mean saturation of the remaining decode engines after one of them
+changes. A burst can double the number of generated tokens."""
 
 MAX_ENGINE_LOAD = 2.0
-"""Crowding, and wait in the same targets, that one engine counts with at most.
-An engine that hangs or was lost shows more the longer it lasts, and would call
-for a change by itself."""
+"""Maximum saturation, and wait in the same targets, that one engine contributes
+to a mean. The values of an engine that hangs or was lost keep growing, and it
+alone would cause a change."""
 
 MAX_WAIT_PER_SATURATION = 0.5
-"""Wait at the engines that read, in the same targets and without the one that
-changes, against the saturation that it is to end: an answer is late by a wait
-of one target as it is by a saturation of one, and half of that may be wrong."""
+"""Maximum wait at the remaining prefill engines, in the same targets, per unit
+of decode saturation that the change relieves. A wait of one target makes an
+answer as late as a saturation of one; the factor allows for an error of half
+in the estimates."""
 
 SMOOTHING_CHANGES = 1.0
-"""Time constant of both means, in changes of role: a pressure that passes
-sooner is over before a change that it asks for, and loads that alternate
-faster than an engine can change change nothing."""
+"""Time constant of both means, in durations of a role change. A shorter peak is
+over before the change that it would cause, and loads that alternate faster
+than an engine can change cause no change."""
 
 MIN_DECODE_ENGINES = 3
-"""In any fleet, or all but one. With two, one that crashes while the other
-leaves or changes ends all answers for the seconds that a change back
-takes."""
+"""Minimum number of decode engines in any fleet, or all engines but one in a
+smaller fleet. With two, a crash of one while the other leaves or changes stops
+all answers for the seconds that a change back takes."""
 
 ENGINES_PER_CHANGE = 4
-"""Engines for each change that may be under way: one at a time would take
-longer than the load that asks for it where there are many."""
+"""Engines in the fleet per change that may be in progress. In a large fleet,
+changing one at a time would take longer than the load lasts."""
 
 RETRY_CHECKS = 2
-"""Checks after an order that was not taken, before another engine is tried."""
+"""Checks to wait after a refused order before another engine is tried."""
 
 
 @attrs.frozen(kw_only=True)
 class EngineView:
-    """What is known of one engine.
+    """The known load of one engine.
 
     Attributes:
         engine: The engine.
-        wait_s: How long the least urgent work would wait there.
-        saturation: How much of its memory, its slots or the pause that routes
-            allow is taken, whichever is most; 1 for all of it.
+        wait_s: How long work of the lowest urgency would wait there.
+        saturation: The used fraction of its memory, its slots or the pause
+            that routes allow, whichever is largest; 1 when fully used.
     """
 
     engine: directory.Registration
@@ -75,14 +77,14 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceView:
-    """What is known of one service's engines.
+    """The known load of one service's engines.
 
     Attributes:
         service: The service.
-        engines: Those that may be used.
-        target_s: The longest target of its routes.
-        change_s: How long a change of role takes.
-        settle_s: After it, until the new role is known everywhere.
+        engines: The usable engines.
+        target_s: The longest latency target of its routes.
+        change_s: Duration of a role change.
+        settle_s: Time after it until all hosts know the new role.
     """
 
     service: str
@@ -94,12 +96,12 @@
 
 @attrs.frozen(kw_only=True)
 class StageChange:
-    """A change that should be made.
+    """A proposed change of one engine's stage.
 
     Attributes:
         engine: The engine.
-        stage: Its new role.
-        reason: For logs.
+        stage: Its new stage.
+        reason: Explanation for logs.
     """
 
     engine: directory.Registration
@@ -108,13 +110,13 @@
 
 
 class StagePlan:
-    """Watches the engines of one service."""
+    """Proposes stage changes for the engines of one service."""
 
     def __init__(self, *, check_s: float):
-        """Makes a plan that has seen nothing.
+        """Creates a plan without observations.
 
         Args:
-            check_s: Between two calls of `propose`.
+            check_s: Interval between calls of `propose`.
         """
         self._check_s = check_s
         self._wait_s = 0.0
@@ -125,51 +127,51 @@
 
     @property
     def wait_s(self) -> float:
-        """The smoothed mean wait at the engines that read."""
+        """The smoothed mean wait at the prefill engines."""
         return self._wait_s
 
     @property
     def saturation(self) -> float:
-        """The smoothed mean saturation of the engines that generate."""
+        """The smoothed mean saturation of the decode engines."""
         return self._saturation
 
     def note_change(self, view: ServiceView, now: float) -> None:
-        """Notes that a change was ordered; the next waits until it settled.
+        """Records an ordered change and pauses proposals until it settles.
 
         Args:
-            view: What the change was proposed from.
-            now: The present time in seconds.
+            view: The view that the change was proposed from.
+            now: The current time in seconds.
         """
         at_a_time = max(1, len(view.engines) // ENGINES_PER_CHANGE)
         settled_s = view.change_s + view.settle_s
         self._paused_until = now + settled_s / at_a_time
         if at_a_time == 1:
-            # The queues of before say nothing of the fleet as it is now.
+            # The wait before the change does not describe the new fleet.
             self._wait_s = 0.0
 
     def note_refusal(self, engine: str, view: ServiceView, now: float) -> None:
-        """Notes that an engine did not take an order.
+        """Records that an engine did not accept an order.
 
-        It may have crashed, or carry out another one.
+        It may have crashed or be carrying out another order.
         """
         self._paused_until = now + RETRY_CHECKS * self._check_s
         skip_s = view.change_s + view.settle_s
         self._skip_until[engine] = now + skip_s
 
     def propose(self, view: ServiceView, now: float) -> StageChange | None:
-        """Returns the change that should be made now, or None."""
+        """Returns the change to order now, or None."""
         prefillers = _of_stage(view, directory.Stage.PREFILL)
         decoders = _of_stage(view, directory.Stage.DECODE)
         self._smooth(view, prefillers, decoders, now)
         if now < self._paused_until:
             return None
         if not decoders and len(prefillers) > 1:
-            return self._propose_decoder(prefillers, "none generates", now)
+            return self._propose_decoder(prefillers, "no decode engine", now)
         if self._can_add_prefiller(view, prefillers, decoders):
             reason = f"prompts wait {self._wait_s:.2f} s"
             return self._propose_prefiller(decoders, reason, now)
         if self._can_add_decoder(view, len(prefillers)):
-            reason = f"generating engines are taken to {self._saturation:.2f}"
+            reason = f"decode engines are saturated to {self._saturation:.2f}"
             return self._propose_decoder(prefillers, reason, now)
         return None
 
@@ -179,7 +181,7 @@
         prefillers: list[EngineView],
         decoders: list[EngineView],
     ) -> bool:
-        """Returns whether generating engines can give one up to reading."""
+        """Returns whether a decode engine should change to prefill."""
         count = len(decoders)
         if count <= max(
             1, min(MIN_DECODE_ENGINES, len(prefillers) + count - 1)
@@ -187,15 +189,15 @@
             return False
         if self._wait_s <= PREFILL_WAIT_THRESHOLD * view.target_s:
             return False
-        # Crowded at this moment is crowded, whatever it was before.
+        # A saturation that is high right now counts even if the mean is low.
         saturation = max(self._saturation, _mean_saturation(decoders))
         return saturation * count / (count - 1) <= MAX_REMAINING_SATURATION
 
     def _can_add_decoder(self, view: ServiceView, prefillers: int) -> bool:
-        """Returns whether reading engines can give one up to generating."""
+        """Returns whether a prefill engine should change to decode."""
         if prefillers < 2 or self._saturation <= SATURATION_THRESHOLD:
             return False
-        # Queues grow faster than the work that each of the others gets.
+        # Queues grow faster than the load of each remaining engine.
         wait_s = self._wait_s * (prefillers / (prefillers - 1)) ** 2
         return (
             wait_s <= MAX_WAIT_PER_SATURATION * self._saturation * view.target_s
--- a/packages/bulrushgrade/bulrushgrade/subset.py
+++ b/packages/bulrushgrade/bulrushgrade/subset.py
@@ -1,13 +1,14 @@
-"""Which endpoints a daemon is tied to, and which other daemons it hears.
+"""Selects the endpoints that a daemon connects to, and its peers.
 
-With every daemon tied to every endpoint, connections and load messages grow
-with the product of the two. A daemon is tied to a bounded subset instead,
-chosen by rendezvous hashing: all daemons compute the same ties from the same
-host list, and a change of one host moves only the ties of that host.
+If every daemon connected to every endpoint, connections and load messages
+would grow with the product of the two. Each daemon connects to a bounded
+subset instead, chosen by rendezvous hashing: all daemons compute the same
+subsets from the same host list, and a change of one host affects only the
+subsets that contain it.
 
-Endpoints of the daemon's own zone come first. A few come from the next zone
-of the region, the same one for every daemon of a zone: were it a different
-one for each daemon, a daemon would share endpoints with nearly all others.
+Endpoints of the daemon's own zone come first. A few come from the next zone of
+the region, which is the same one for all daemons of a zone. If it differed
+between them, a daemon would share endpoints with nearly all others.
 """
 
 from collections.abc import Iterable
@@ -18,35 +19,35 @@
 
 from bulrushgrade import membership
 
-# Endpoints a service in the own zone. Two random choices need a handful of
-# near-equals to choose from; a dozen also keeps a tie's share of an endpoint
-# small when one of them fails.
+# Endpoints per service in the own zone. Placement by two random choices needs a
+# handful of nearly equal endpoints; a dozen also keeps the extra load on each
+# of the others small when one fails.
 OWN_ZONE_ENDPOINTS = 12
-# Endpoints a service outside the own zone, so that a daemon has somewhere to
-# place at once when its zone's endpoints are lost, before any list says so.
-# Up to OWN_ZONE_ENDPOINTS + OTHER_ZONE_ENDPOINTS endpoints a service, all
-# daemons are tied to all of them.
+# Endpoints per service outside the own zone, so that a daemon can place work at
+# once when its zone's endpoints are lost, before the host list shows it. While
+# a service has at most OWN_ZONE_ENDPOINTS + OTHER_ZONE_ENDPOINTS endpoints,
+# every daemon connects to all of them.
 OTHER_ZONE_ENDPOINTS = 4
-# Daemons that may seek authority over one group of engines. Each reads the
-# group's stream, so the number is small; with three, two may be lost at once.
+# Daemons that may acquire the lease of one group of engines. Each reads the
+# group's stream, so the number is small; with three, two may fail at once.
 CANDIDATES = 3
 
 
 def rendezvous_weight(key: str, member: str) -> int:
-    """Returns the rendezvous weight of a member for a key, 64 bits."""
+    """Returns the 64-bit rendezvous weight of a member for a key."""
     return xxhash.xxh3_64_intdigest(f"{key} {member}".encode())
 
 
 def rank(key: str, members: Iterable[str], count: int) -> tuple[str, ...]:
-    """Returns the members of the greatest weights for a key.
+    """Returns the members with the greatest weights for a key.
 
     Args:
-        key: Whose choice this is.
-        members: Distinct names to choose from.
-        count: How many to return at most.
+        key: The name of the daemon or group that chooses.
+        members: The distinct names to choose from.
+        count: The maximum number of members to return.
 
     Returns:
-        The chosen members, the greatest weight first.
+        The chosen members, greatest weight first.
     """
     return tuple(
         heapq.nlargest(
@@ -58,15 +59,15 @@
 def order_zones(
     own: tuple[str, str], zones: Iterable[tuple[str, str]]
 ) -> tuple[tuple[str, str], ...]:
-    """Orders zones by how soon a daemon of one zone turns to them.
+    """Orders zones by the preference of daemons in one zone.
 
-    The own zone, then the region's others in a ring, then other regions. In a
-    ring each zone is the next of exactly one, so that the load of a lost zone
-    does not pile up on one by the chance of a hash.
+    The own zone comes first, then the other zones of the region as a ring,
+    then other regions. In a ring each zone follows exactly one other, so the
+    load of a lost zone does not concentrate on one zone by a random hash.
 
     Args:
         own: The daemon's region and zone.
-        zones: Regions and zones that there are.
+        zones: All regions and zones.
     """
     region, zone = own
     near = sorted(z for z in zones if z[0] == region and z[1] > zone)
@@ -78,7 +79,7 @@
 
 @attrs.frozen(kw_only=True)
 class _ZoneMembers:
-    """The endpoints of one service in one zone, with choices made so far."""
+    """The endpoints of one service in one zone, with a cache of choices."""
 
     members: tuple[str, ...]
     choices: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
@@ -92,11 +93,11 @@
 
 
 class EndpointSubsets:
-    """The ties of all daemons, by one host list.
+    """The endpoint subsets of all daemons, computed from one host list.
 
-    Choices are kept for each zone and service until an endpoint there comes
-    or goes: computing all anew for one host would hold up the requests of a
-    large deployment for a good part of a second.
+    Choices are cached for each zone and service until an endpoint there is
+    added or removed. Recomputing all of them for one host would delay the
+    requests of a large deployment by a good part of a second.
     """
 
     def __init__(self):
@@ -105,10 +106,10 @@
         self._subsets: dict[str, frozenset[str]] = {}
 
     def update(self, hosts: Iterable[membership.Host]) -> None:
-        """Takes the hosts of a newer list.
+        """Applies the hosts of a newer list.
 
-        Leaving hosts keep their ties: work is still in flight there, and
-        their loads still matter to those who share them.
+        Leaving hosts stay in subsets: work is still in flight there, and
+        their loads still matter to the daemons that share them.
 
         Args:
             hosts: All listed hosts, daemons and endpoints.
@@ -135,11 +136,11 @@
         self._subsets = {}
 
     def get_endpoints(self, daemon: str) -> frozenset[str]:
-        """Returns the addresses of the endpoints that a daemon is tied to.
+        """Returns the addresses of the endpoints in a daemon's subset.
 
         Args:
-            daemon: The address of a listed daemon; one that is not listed,
-                such as one just started, has no ties.
+            daemon: The address of a daemon. The subset of one that is not
+                listed, such as one that just started, is empty.
         """
         if daemon not in self._daemons:
             return frozenset()
@@ -210,18 +211,18 @@
     *,
     count: int = CANDIDATES,
 ) -> tuple[str, ...]:
-    """Returns the daemons that may seek authority over a group of engines.
+    """Returns the daemons that may acquire the lease of a group of engines.
 
-    All but one come from the group's zone, where orders travel shortest; the
-    last comes from the next zone, so that the loss of every entry host in a
-    zone does not leave its engines without a holder.
+    All but one come from the group's zone, from which orders have the lowest
+    latency. The last comes from the next zone, so that the loss of every entry
+    host in a zone does not leave its engines without a lease holder.
 
     Args:
         group: The name of the group.
         own: The region and zone of the group's engines.
-        daemons: The listed daemons; leaving ones are passed over, since they
-            would give up the authority within minutes.
-        count: How many to return at most.
+        daemons: The listed daemons. Leaving ones are skipped, since they
+            would give the lease up within minutes.
+        count: The maximum number of daemons to return.
     """
     by_zone: dict[tuple[str, str], list[str]] = {}
     for daemon in membership.select_live(daemons):
--- a/packages/bulrushgrade/bulrushgrade/usagewindows.py
+++ b/packages/bulrushgrade/bulrushgrade/usagewindows.py
@@ -1,9 +1,10 @@
-"""How many requests of each workspace began to run, by window of time.
+"""Counts and reports the requests that each workspace started, by time window.
 
-Each daemon counts for itself and sends its counts to the one that reports. A
-window is reported once: what is to be sent is recorded in the topic of orders
-before it is sent, and whoever sends it later repeats what was recorded. A
-window of which records may have been dropped unread is not reported anew.
+Each daemon counts its own requests and sends the counts to the daemon that
+reports. A window is reported with one set of counts: the report is recorded in
+the topic of orders before it is sent, and a daemon that sends it again repeats
+the record. A window whose records may have been dropped unread is not reported
+with new counts.
 """
 
 from collections.abc import Iterable
@@ -12,31 +13,31 @@
 import attrs
 
 Counts = dict[str, int]
-"""Requests by the name of their workspace."""
+"""Number of requests by workspace name."""
 
 SETTLE_S = 1.0
-"""After a window's end until a daemon's counts are whole: requests that began
-in it are counted with the head of their answer."""
+"""Time after a window's end until a daemon's counts are complete. A request is
+counted only when the header of its answer arrives."""
 
 WAIT_FRACTION = 0.5
-"""Of the time in which a report is due, for which counts of daemons that have
-not sent theirs are waited for."""
+"""Fraction of the time until a report is due for which counts of other daemons
+are awaited."""
 
 RETRY_S = 1.0
-"""Before a report that was not accepted is sent again."""
+"""Time before a report that was not accepted is sent again."""
 
 RETENTION_FACTOR = 4.0
-"""Times within which reports are due, for which windows are remembered."""
+"""Retention of windows, as a multiple of the time until reports are due."""
 
 
 @attrs.frozen(kw_only=True)
 class UsageRecord:
-    """What is to be reported of a window.
+    """The recorded report of a window.
 
     Attributes:
-        holder: The incarnation of the host that reports it.
-        window: The window's number, counted from 1970.
-        counts: What is reported.
+        holder: The incarnation of the reporting host.
+        window: The window's number, counted from the Unix epoch.
+        counts: The reported counts.
         accepted: Windows whose reports are known to have been accepted.
     """
 
@@ -48,10 +49,10 @@
 
 @attrs.frozen(kw_only=True)
 class ReporterRecord:
-    """Says who reports from now on.
+    """A change of the reporting host.
 
     Attributes:
-        holder: The incarnation of the host that reports.
+        holder: The incarnation of the host that reports from now on.
     """
 
     holder: str
@@ -59,60 +60,60 @@
 
 @attrs.frozen(kw_only=True)
 class WindowSchedule:
-    """How time is divided.
+    """Numbers, ends and deadlines of consecutive time windows.
 
     Attributes:
         window_s: The length of a window.
-        late_s: How long after its end a window's report is due.
+        late_s: Time after a window's end until its report is due.
     """
 
     window_s: float
     late_s: float
 
     def number(self, at: float) -> int:
-        """Returns the number of the window of a moment, in true time."""
+        """Returns the number of the window that contains a wall-clock time."""
         return math.floor(at / self.window_s)
 
     def end(self, window: int) -> float:
-        """Returns when a window ends, in true time."""
+        """Returns the wall-clock time at which a window ends."""
         return (window + 1) * self.window_s
 
     def is_settled(self, window: int, now: float) -> bool:
-        """Returns whether a daemon has counted what began in a window."""
+        """Returns whether a daemon's own counts of a window are complete."""
         return now >= self.end(window) + SETTLE_S
 
     def is_in_time(self, window: int, now: float) -> bool:
-        """Returns whether a window's report is not late yet."""
+        """Returns whether a window's report can still be in time."""
         return now <= self.end(window) + self.late_s
 
     def oldest_retained(self, now: float) -> int:
-        """Returns the oldest window that is remembered."""
+        """Returns the number of the oldest retained window."""
         return self.number(now - RETENTION_FACTOR * self.late_s)
 
 
 class UsageMeter:
-    """What one daemon counts."""
+    """Counts one daemon's requests by window and workspace."""
 
     def __init__(self, *, windows: WindowSchedule):
-        """Makes a meter that has counted nothing.
+        """Creates a meter without counts.
 
         Args:
-            windows: How time is divided.
+            windows: The time windows.
         """
         self._windows = windows
         self._counts: dict[int, Counts] = {}
 
     def note(self, workspace: str, at: float) -> None:
-        """Counts a request that began to run at a moment of true time."""
+        """Counts a request that started at a wall-clock time."""
         counts = self._counts.setdefault(self._windows.number(at), {})
         counts[workspace] = counts.get(workspace, 0) + 1
 
     def counts(self, window: int) -> Counts:
-        """Returns what was counted in a window."""
+        """Returns the counts of a window."""
         return dict(self._counts.get(window, {}))
 
     def forget(self, now: float) -> None:
-        """Drops windows that are not remembered any more."""
+        """Drops windows that are no longer retained."""
         oldest = self._windows.oldest_retained(now)
         for window in [w for w in self._counts if w < oldest]:
             del self._counts[window]
@@ -120,24 +121,24 @@
 
 @attrs.define(kw_only=True)
 class _DaemonCounts:
-    """What one daemon sent of a window."""
+    """The counts that one daemon sent for a window."""
 
     counts: Counts
     is_whole: bool
 
 
 class UsageReports:
-    """Which windows were reported, and what is to be reported next."""
+    """Tracks the reports of windows and selects the next one to send."""
 
     def __init__(
         self, *, holder: str, windows: WindowSchedule, started_at: float
     ):
-        """Makes a state in which nothing was reported.
+        """Creates a state without reports.
 
         Args:
             holder: This daemon's incarnation.
-            windows: How time is divided.
-            started_at: When this daemon started, in true time.
+            windows: The time windows.
+            started_at: The wall-clock time at which this daemon started.
         """
         self._holder = holder
         self._windows = windows
@@ -145,45 +146,45 @@
         self._recorded: dict[int, Counts] = {}
         self._accepted: set[int] = set()
         self._attempted_at: dict[int, float] = {}
-        # Windows that began before may have records that nobody can read.
+        # Windows that began before this time may have unreadable records.
         self._complete_from = -math.inf
         self._sent: dict[int, dict[str, _DaemonCounts]] = {}
 
     @property
     def accepted(self) -> int:
-        """Windows whose report was accepted and that are remembered."""
+        """The number of retained windows whose report was accepted."""
         return len(self._accepted)
 
     def take_record(self, record: UsageRecord) -> None:
-        """Takes a record; the first of a window is the one that counts."""
+        """Applies a record; only the first one of a window counts."""
         self._recorded.setdefault(record.window, record.counts)
         self._accepted.update(record.accepted)
 
     def note_gap(self, now: float) -> None:
-        """Notes that records were dropped unread."""
+        """Records that some records were dropped unread."""
         self._complete_from = now
 
     def record_attempt(self, window: int, now: float) -> None:
-        """Notes that a window's report was sent, or was to be."""
+        """Records an attempt to send a window's report."""
         self._attempted_at[window] = now
 
     def note_accepted(self, window: int) -> None:
-        """Notes that the platform has a window's report."""
+        """Records that the platform accepted a window's report."""
         self._accepted.add(window)
 
     def take_counts(
         self, daemon: str, window: int, counts: Counts, *, is_whole: bool
     ) -> bool:
-        """Takes what a daemon counted; what it sends later replaces it.
+        """Stores a daemon's counts; later ones replace earlier ones.
 
         Args:
-            daemon: Its incarnation.
+            daemon: The daemon's incarnation.
             window: The window's number.
-            counts: What it has counted so far.
-            is_whole: Whether it counts no more in that window.
+            counts: Its counts so far.
+            is_whole: Whether its counts of that window are final.
 
         Returns:
-            Whether it need not send that window again.
+            Whether the daemon need not send that window again.
         """
         if window in self._recorded:
             return True
@@ -196,11 +197,11 @@
     def next_record(
         self, now: float, daemons: Iterable[str]
     ) -> UsageRecord | None:
-        """Returns what is to be sent now, or None.
+        """Returns the report to send now, or None.
 
         Args:
-            now: The present moment of true time.
-            daemons: Those that are there.
+            now: The current wall-clock time.
+            daemons: The daemons that are present.
         """
         expected = set(daemons)
         windows = range(
@@ -209,7 +210,7 @@
         due = [w for w in windows if self._is_due(w, now, expected)]
         if not due:
             return None
-        # Those that can still be in time go before those that are late.
+        # Reports that can still be in time go before late ones.
         in_time = [w for w in due if self._windows.is_in_time(w, now)]
         window = (in_time or due)[0]
         counts = self._recorded.get(window)
@@ -218,7 +219,7 @@
         return self._make_record(window, counts)
 
     def forget(self, now: float) -> None:
-        """Drops windows that are not remembered any more."""
+        """Drops windows that are no longer retained."""
         oldest = self._windows.oldest_retained(now)
         self._accepted = {w for w in self._accepted if w >= oldest}
         self._recorded = {
--- a/packages/bulrushgrade/bulrushgrade/workspaces.py
+++ b/packages/bulrushgrade/bulrushgrade/workspaces.py
@@ -1,8 +1,9 @@
-"""Workspaces and the keys by which their callers are known.
+"""Workspaces and the API keys that identify their callers.
 
 Keys are secrets. Only their digests are kept, so that no dump, log line or
-error can show one; a short prefix of the digest names a key to operators.
-Digests are what is compared, so that how long it takes tells nothing of a key.
+error can reveal one; a short prefix of the digest identifies a key to
+operators. Digests are compared instead of keys, so that the time of a
+comparison reveals nothing about a key.
 """
 
 from collections.abc import Iterable
@@ -12,7 +13,7 @@
 import attrs
 
 KEY_ID_DIGITS = 8
-"""Hexadecimal digits of a digest that name a key to operators."""
+"""Number of hexadecimal digits of a digest that identify a key."""
 
 
 @attrs.frozen(kw_only=True)
@@ -20,9 +21,9 @@
     """A customer whose callers share keys.
 
     Attributes:
-        name: What endpoints and reports call it.
-        priority: 0 is the most urgent; goes before the priority of a route.
-            None leaves it to the route.
+        name: The name used by endpoints and in reports.
+        priority: The priority of its requests, which overrides that of the
+            route; 0 is the most urgent. None keeps the priority of the route.
     """
 
     name: str
@@ -30,7 +31,7 @@
 
 
 class Denial(enum.Enum):
-    """Why a request is not taken for one of a workspace."""
+    """The reason why a request can't be attributed to a workspace."""
 
     MISSING = "no key"
     UNKNOWN = "unknown key"
@@ -38,12 +39,12 @@
 
 
 def digest_key(key: bytes) -> bytes:
-    """Returns what is kept of a key."""
+    """Returns the digest of a key, the only form in which it is kept."""
     return hashlib.sha256(key).digest()
 
 
 def make_key_id(digest: bytes) -> str:
-    """Returns the short id of a key, from which it can't be found."""
+    """Returns a short id of a key that does not reveal it."""
     return digest.hex()[:KEY_ID_DIGITS]
 
 
@@ -51,10 +52,10 @@
     """Finds the workspace of a key."""
 
     def __init__(self, *, keys: Iterable[tuple[bytes, Workspace]]):
-        """Makes a ring.
+        """Creates a key ring.
 
         Args:
-            keys: Digests of keys with the workspace that each belongs to.
+            keys: Digests of keys, each with the workspace that owns it.
         """
         self._by_digest = dict(keys)
         self._lowest_priority = max(
@@ -67,14 +68,14 @@
 
     @property
     def lowest_priority(self) -> int:
-        """The priority of the least urgent workspace that has one."""
+        """The priority of the least urgent workspace that sets one."""
         return self._lowest_priority
 
     def find(self, digests: frozenset[bytes]) -> Workspace | Denial:
-        """Returns whose request it is by the digests of the keys it bears.
+        """Returns the workspace of a request, or why there is none.
 
         Args:
-            digests: One for each different key of the request.
+            digests: The digests of the distinct keys in the request.
         """
         if not digests:
             return Denial.MISSING
--- a/packages/bulrushgrade_daemon/tests/test_choosing.py
+++ b/packages/bulrushgrade_daemon/tests/test_choosing.py
@@ -152,7 +152,7 @@
 def test_engines_that_only_fail_here_are_not_lost():
     """A daemon fails at both engines that generate, others do not.
 
-    It had a reader change its role because "none generates", and prompts
+    It had a reader change its role because "no decode engine", and prompts
     waited for the rest of the day behind one reader fewer.
     """
     scene = Scene()
