--- a/packages/bulrushgrade/tests/capacityscene.py
+++ b/packages/bulrushgrade/tests/capacityscene.py
@@ -1,4 +1,4 @@
-"""A fleet whose engines are ordered, for tests of how many there should be."""
+"""A simulated fleet whose engines are ordered, for tests of capacity plans."""
 
 from bulrushgrade import capacityplan
 
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """A fleet that carries orders out after a while, and its plan."""
+    """A fleet that carries out orders after a delay, with its plan."""
 
     def __init__(self, *, each=6, scaling=SCALING):
         self.now = 0.0
@@ -71,7 +71,7 @@
 
     @property
     def price(self):
-        """The price of what runs, in engines at the mean zone's full price."""
+        """The price of running engines, in engines at the mean full price."""
         scaling = self.scaling
         mean = sum(scaling.zone_prices.values()) / len(scaling.zone_prices)
         total = 0.0
--- a/packages/bulrushgrade/tests/test_capacityplan.py
+++ b/packages/bulrushgrade/tests/test_capacityplan.py
@@ -1,4 +1,4 @@
-"""Tests of how many engines of which kind a service should have."""
+"""Tests of the plan of spot and full-price engines."""
 
 import attrs
 from capacityscene import SCALING
@@ -16,7 +16,7 @@
 
 
 def test_plan_that_has_what_it_wants_orders_nothing_more():
-    """Guards against fleets that flap."""
+    """Guards against orders that alternate up and down."""
     fleet = Fleet()
     fleet.run(40.0)
     before = len(fleet.orders)
@@ -25,7 +25,7 @@
 
 
 def test_zone_whose_spot_engines_go_leaves_what_is_needed():
-    """All spot engines of a zone are taken away at once, at any moment."""
+    """All spot engines of a zone can be reclaimed at once, at any time."""
     fleet = Fleet()
     fleet.run(40.0)
     for zone in "abcd":
@@ -36,14 +36,14 @@
 
 
 def test_zone_without_spot_engines_changes_nothing_elsewhere():
-    """Guards against caches that are lost as others grow and shrink again."""
+    """Guards against lost caches in zones that grow and shrink again."""
     fleet = Fleet()
     fleet.run(40.0)
     before = dict(fleet.running)
     fleet.refusing = {"b"}
     fleet.running["b", True] = 0
     fleet.run(12.0)
-    # The operator's least number stands in where there is nothing else.
+    # The operator's minimum is ordered at the full price in that zone.
     assert fleet.running == before | {("b", True): 0, ("b", False): 1}
     fleet.refusing = set()
     fleet.run(30.0)
@@ -60,7 +60,7 @@
 
 
 def test_engines_at_the_full_price_come_where_no_spot_ones_can_be_had():
-    """Guards against a service that shrinks with the offer of spot engines."""
+    """Guards against a service that shrinks with the supply of spot engines."""
     fleet = Fleet()
     fleet.run(40.0)
     fleet.refusing = set("abcd")
@@ -71,7 +71,7 @@
 
 
 def test_zones_that_give_no_more_still_count_with_what_they_have():
-    """Guards against a second fleet at the full price beside the first."""
+    """Guards against a second, full-price fleet in addition to the first."""
     fleet = Fleet()
     fleet.run(40.0)
     fleet.refusing = set("abcd")
@@ -90,7 +90,7 @@
 
 
 def test_successor_goes_on_with_the_number_that_was_recorded():
-    """Guards against a need that shrinks with each change of the leader."""
+    """Guards against a needed number that shrinks with each new leader."""
     fleet = Fleet()
     fleet.run(40.0)
     records = [order for _, order in fleet.orders]
--- a/packages/bulrushgrade/tests/test_capacityplan_load.py
+++ b/packages/bulrushgrade/tests/test_capacityplan_load.py
@@ -1,7 +1,7 @@
-"""Tests of how many engines there are under load.
+"""Tests of the capacity plan under load.
 
-Pattern: long prompts come in bursts that alternate with calm every few
-seconds, and all spot engines of a zone are taken away in the middle of it.
+Bursts of long prompts alternate with calm every few seconds, and all spot
+engines of a zone are reclaimed in the middle.
 """
 
 import heapq
@@ -18,7 +18,7 @@
 
 
 class Load:
-    """Prompts at a fleet; each is read by the engine that is free first."""
+    """Sends prompts to a fleet; the engine that is free first prefills each."""
 
     def __init__(self, *, fleet):
         self.fleet = fleet
@@ -53,7 +53,7 @@
         now = self.fleet.now
         began = max(now, self.free_at[0])
         self.asked += 1
-        # Who would be late is refused and takes no engine.
+        # Prompts that would be late are refused and use no engine.
         if began + READ_S - now > TARGET_S:
             return
         self.in_time += 1
--- a/packages/bulrushgrade/tests/test_crashledger.py
+++ b/packages/bulrushgrade/tests/test_crashledger.py
@@ -1,4 +1,4 @@
-"""Tests of which requests are blamed for crashes of endpoints."""
+"""Tests of blaming and quarantining requests that crash endpoints."""
 
 import hypothesis
 from hypothesis import stateful
@@ -21,7 +21,7 @@
 
 
 def crash(ledger, requests, *endpoints, now=0.0, **changes):
-    """Has endpoints crash with all of some requests, in zones of their own."""
+    """Crashes endpoints, each in its own zone, with all given requests."""
     for endpoint in endpoints:
         for request in requests.split():
             fields = {"zone": f"z{endpoint}"} | changes
@@ -37,7 +37,7 @@
 
 
 def test_crash_that_several_hosts_tell_of_counts_once():
-    """All hosts told of the same two crashes; that made six."""
+    """Guards against counting the same two crashes once per reporting host."""
     ledger = crashledger.CrashLedger()
     for _ in range(3):
         crash(ledger, "good", "e1", "e2")
@@ -62,7 +62,11 @@
 
 
 def test_request_that_ran_to_its_end_is_forgotten():
-    """A poll met a crash now and then, and ran a thousand times between."""
+    """Guards against blaming a frequent request for occasional crashes.
+
+    A polling request is involved in a crash now and then and completes a
+    thousand times in between.
+    """
     ledger = crashledger.CrashLedger()
     crash(ledger, "good", "e1", "e2")
     assert len(ledger.clear("good")) == 2
@@ -71,10 +75,10 @@
 
 
 def test_answer_under_way_that_ends_whole_releases_its_request():
-    """Many callers asked for the same when a zone failed under some of them.
+    """Many callers send the same request while a zone fails.
 
-    All hosts refused it from then on, to all callers, while those that had
-    been sent before got their answers.
+    Without the release, all hosts would refuse the request to all callers
+    although earlier ones are answered completely.
     """
     ledger = crashledger.CrashLedger()
     crash(ledger, "list", "e1", "e2", "e3", "e4", zone="z1")
@@ -84,7 +88,7 @@
 
 
 def test_request_that_waited_at_crashed_endpoints_needs_one_more():
-    """Queues were moved from endpoint to endpoint, each crashed by another."""
+    """Queued requests move between endpoints that another request crashes."""
     ledger = crashledger.CrashLedger()
     crash(ledger, "good", "e1", "e2", "e3", begun=False)
     assert ledger.blamed == set()
@@ -100,9 +104,10 @@
 
 
 def test_request_whose_endpoints_end_with_their_zone_is_innocent():
-    """A zone's endpoints failed one after the other, with a request on them.
+    """A zone's endpoints fail one after the other with a request on them.
 
-    It was moved within the zone each time, and then refused by all hosts.
+    The request is moved within the zone each time. It must not be refused by
+    all hosts afterwards.
     """
     ledger = crashledger.CrashLedger()
     for number, endpoint in enumerate(("e1", "e2", "e3", "e4")):
@@ -123,7 +128,7 @@
 
 
 def test_caller_of_several_harmful_requests_needs_fewer_crashes():
-    """A caller sent one harmful request after the other, each a new one."""
+    """A caller sends harmful requests one after the other, each different."""
     ledger = crashledger.CrashLedger()
     crash(ledger, "b1", "e1", "e2", "e3")
     crash(ledger, "b2", "e4", "e5", "e6")
@@ -145,10 +150,11 @@
 
 
 def test_request_that_goes_on_crashing_is_tried_ever_more_seldom():
-    """A request was harmless again, and nobody could find out.
+    """Guards against a permanent quarantine and against frequent crashes.
 
-    One that is harmful still costs an endpoint each time, so the time to the
-    next doubles.
+    A request may have become harmless, which only a further try can show. One
+    that is still harmful costs an endpoint each time, so the time until the
+    next try doubles.
     """
     ledger = crashledger.CrashLedger()
     crash(ledger, "bad", "e1", "e2", "e3")
@@ -175,7 +181,10 @@
 
 
 def test_crashes_that_lie_far_apart_still_add_up():
-    """A stream that is not repeated took one endpoint a try, minutes apart."""
+    """A stream that is not retried crashes one endpoint per try of its caller.
+
+    The tries are minutes apart.
+    """
     ledger = crashledger.CrashLedger()
     for number in range(3):
         at = number * 0.9 * crashledger.CRASH_TTL_S
@@ -193,7 +202,7 @@
 
 
 def test_great_failure_leaves_what_is_quarantined():
-    """A zone with thousands of requests failed, and the ledger was full."""
+    """A zone with thousands of requests fails and fills the ledger."""
     ledger = crashledger.CrashLedger()
     crash(ledger, "bad", "e1", "e2", "e3")
     for number in range(crashledger.MAX_INVOLVEMENTS + 50):
@@ -215,7 +224,7 @@
 
 
 class CrashLedgerMachine(stateful.RuleBasedStateMachine):
-    """Two hosts that learn the same in different orders judge alike."""
+    """Two hosts that learn of crashes in different orders blame the same."""
 
     def __init__(self):
         super().__init__()
--- a/packages/bulrushgrade/tests/test_fingerprint.py
+++ b/packages/bulrushgrade/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Tests of fingerprints of requests."""
+"""Tests of request fingerprints."""
 
 import hypothesis
 from hypothesis import strategies
--- a/packages/bulrushgrade/tests/test_membership.py
+++ b/packages/bulrushgrade/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the view of hosts."""
+"""Tests of the membership of hosts."""
 
 import json
 
@@ -68,9 +68,9 @@
 
 
 def test_older_list_does_not_bring_a_host_back():
-    # A caller would see its request refused by a host that has left. Two
-    # reads of the list were answered by two servers, the newer one first;
-    # the older answer then arrived and named the host as live again.
+    # Two reads of the list are answered by two servers, and the newer answer
+    # arrives first. If the older one were applied, requests would be sent to a
+    # host that has left and be refused.
     view = make_view(make_host("a"), version=7)
     older = make_list(make_host("a"), make_host("b"), version=6)
     assert isinstance(view.accept(older, now=1.0), Failure)
@@ -101,7 +101,7 @@
 
 
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Lists in any order, mixed with observations."""
+    """Lists arrive in any order, interleaved with observations."""
 
     addresses = strategies.sampled_from(["a", "b", "c"])
 
--- a/packages/bulrushgrade/tests/test_peerview.py
+++ b/packages/bulrushgrade/tests/test_peerview.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed of peers."""
+"""Tests of peer messages and the state kept of peers."""
 
 import hypothesis
 from hypothesis import strategies
@@ -66,9 +66,10 @@
 
 
 def test_message_of_a_replaced_process_is_dropped():
-    # Placement would avoid an idle engine for seconds. A peer was killed with
-    # much in flight and started again; its last words, held up on the old
-    # connection, arrived after the first ones of the new process.
+    # A peer is killed with many requests in flight and restarts. Its last
+    # message, delayed on the old connection, arrives after the first one of
+    # the new process. Accepted, it would keep an idle engine unused for
+    # seconds.
     view = peerview.PeerView()
     view.accept(make_loads(50, incarnation=1, sequence=8)).unwrap()
     view.accept(make_loads(1, incarnation=2, sequence=0)).unwrap()
--- a/packages/bulrushgrade/tests/test_retryshare.py
+++ b/packages/bulrushgrade/tests/test_retryshare.py
@@ -39,11 +39,11 @@
     daemons=st.integers(1, 8),
 )
 def test_sum_over_daemons_keeps_to_the_whole(events, daemons):
-    """Every endpoint fails and every daemon retries all it may.
+    """Every endpoint fails and every daemon retries as much as allowed.
 
-    The callers' load would double if each daemon believed that the fixed
-    part of the budget was its own. In every window the retries of all must
-    stay within the ratio of all requests and one fixed part.
+    The callers' load would double if each daemon used the whole fixed part of
+    the budget. In every window the retries of all daemons must stay within
+    the ratio of all requests plus one fixed part.
     """
     whole_extra = 5.0
     shares = [make(extra=whole_extra / daemons) for _ in range(daemons)]
@@ -63,9 +63,9 @@
 
 
 def test_refused_callers_do_not_return_together():
-    """A full endpoint refuses a hundred callers at the same moment.
+    """A full endpoint refuses a hundred callers at the same time.
 
-    Told the same time, all of them would meet it full again.
+    With the same delay, all of them would find it full again.
     """
     rng = random.Random(1)
     times = [retryshare.choose_retry_after_s(3.0, rng) for _ in range(100)]
@@ -76,10 +76,10 @@
 
 
 def test_refused_callers_return_when_the_queue_is_done():
-    """A second of work waits where a prompt would have gone.
+    """One second of work is queued at the endpoint of a refused prompt.
 
-    Told to return after a third of that, its caller met the same queue, was
-    refused again and had no further try.
+    A caller that returns after a third of that finds the same queue, is
+    refused again and has no further try.
     """
     rng = random.Random(1)
     spread = [
--- a/packages/bulrushgrade/tests/test_rolechange.py
+++ b/packages/bulrushgrade/tests/test_rolechange.py
@@ -46,8 +46,8 @@
 
 
 def test_silent_daemon_leaves_it_to_the_engine_to_refuse():
-    # One daemon does not answer whether it dropped the engine. It may place
-    # on it at any moment, so only the engine's own refusal counts.
+    # One daemon does not confirm that it dropped the engine. It may place work
+    # on it at any time, so only the engine's own refusal counts.
     change = _change()
     assert change.tick(4.9) is None
     assert change.tick(5.0) is ASK
@@ -65,7 +65,7 @@
 
 def test_own_count_and_old_reports_hold_the_order_back():
     # The engine's report of no work was measured before the last daemon
-    # dropped it; an order on its word would cut what that daemon had sent.
+    # dropped it. An order based on it would cut off that daemon's requests.
     change = _change(can_refuse=False)
     change.note_load(_load(1.0, refusing=False))
     change.note_views(all_dropped=True, now=2.0)
@@ -78,8 +78,8 @@
 
 
 def test_figures_from_before_the_refusal_hold_the_order_back():
-    # The engine says that it refuses, but its count of no work is older: a
-    # request placed in between would be cut by the order.
+    # The engine reports that it refuses, but its count of no work is older. A
+    # request placed in between would be cut off by the order.
     change = _change()
     change.note_load(_load(1.0))
     assert change.tick(2.0) is None
--- a/packages/bulrushgrade/tests/test_roleplan.py
+++ b/packages/bulrushgrade/tests/test_roleplan.py
@@ -24,7 +24,7 @@
 
 
 def _feed(plan, steps, *, start=0.0, lost=1.0):
-    """Feeds ten-second steps of demand in engines; returns the time after."""
+    """Feeds ten-second steps of demand in engines; returns the end time."""
     plan.observe("h", work.Demand(model="m"), start)
     now, read, answered, refused = start, 0.0, 0.0, 0.0
     for reading, answering in steps:
@@ -85,10 +85,11 @@
 
 
 def test_withdrawn_engine_does_not_hold_up_the_plan():
-    """An engine is withdrawn and stays ``leaving`` in the host list.
+    """Guards against roles that freeze while an engine is withdrawn.
 
-    Taken for a change under way it froze the roles for good, and callers
-    were refused beside engines of the wrong role.
+    The engine stays ``leaving`` in the host list. If that counts as a change
+    in progress, no role changes any more, and callers are refused beside idle
+    engines of the wrong role.
     """
     plan = roleplan.RolePlan()
     now = _feed(plan, [(3.5, 0.8)] * 6)
--- a/packages/bulrushgrade/tests/test_routing.py
+++ b/packages/bulrushgrade/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes and their look-up."""
+"""Tests of routes and their lookup."""
 
 import random
 
--- a/packages/bulrushgrade/tests/test_stagechanges.py
+++ b/packages/bulrushgrade/tests/test_stagechanges.py
@@ -1,4 +1,4 @@
-"""Tests of engines that change their role."""
+"""Tests of tracking engines that change their stage."""
 
 import attrs
 
@@ -31,15 +31,15 @@
 
 
 def test_an_engine_that_changes_gets_nothing():
-    # All hosts went on sending to it until they had read its record, and it
-    # turned their requests away for three seconds.
+    # Hosts that send to it until they have read its record get their requests
+    # rejected for three seconds.
     other = engine("f")
     assert changing().exclude_changing([engine(), other], 1.0) == [other]
 
 
 def test_an_engine_is_used_again_by_its_record():
-    # Running work delayed the change. Prompts that were sent when it should
-    # have been over were turned away, and had no other attempt.
+    # Running work delays the change. Prompts sent at the time when it should
+    # have been over are rejected and have no other attempt.
     changes = changing()
     assert changes.exclude_changing([engine()], 3.5) == []
     record = engine(stage=READ)
--- a/packages/bulrushgrade/tests/test_stageplan.py
+++ b/packages/bulrushgrade/tests/test_stageplan.py
@@ -1,4 +1,4 @@
-"""Tests of when an engine's role changes."""
+"""Tests of the plan of prefill and decode engines."""
 
 import attrs
 from test_directory import make
@@ -14,7 +14,7 @@
 
 
 def make_view(prefillers, decoders, waits_s=(), saturation=()):
-    """Makes a view; waits and saturation are by engine, the rest idle."""
+    """Returns a view with waits and saturation by engine, others idle."""
     waits_s, saturation = dict(waits_s), dict(saturation)
     engines = [make(f"p{n}", stage=PREFILL) for n in range(prefillers)]
     engines += [make(f"d{n}", stage=DECODE) for n in range(decoders)]
@@ -54,9 +54,9 @@
 
 
 def test_lasting_wait_turns_a_generating_engine_into_a_reader():
-    """Long prompts come faster than two engines can read them.
+    """Long prompts arrive faster than two engines can prefill them.
 
-    Four engines generate and have room, while prompts are refused.
+    Four decode engines have spare capacity while prompts are refused.
     """
     saturation = {"d0": 0.2, "d1": 0.1, "d2": 0.3, "d3": 0.4}
     view = make_view(2, 4, of_all("p", 2, 1.0), saturation)
@@ -67,10 +67,10 @@
 
 
 def test_crowded_engines_get_one_back():
-    """Long answers follow the long prompts that an engine was given up for.
+    """Long answers follow long prompts for which a decode engine was changed.
 
-    Streams stand still and are preempted where they are generated, while
-    those that read are idle. Roles that only ever go one way leave it so.
+    Streams stall and are preempted at the decode engines while the prefill
+    engines are idle. Changes in one direction only would leave it so.
     """
     view = make_view(4, 3, {}, of_all("d", 3, 1.0))
     change, at = watch(make_plan(), view, seconds=10.0)
@@ -84,20 +84,20 @@
 
 
 def test_no_engine_is_given_up_that_would_be_missed():
-    """Prompts wait, and the engines that generate are half taken.
+    """Prompts wait, and the decode engines are half saturated.
 
-    Without one of them a burst would have streams preempted; it would be
-    called back as soon as it had gone.
+    Without one of them a burst would preempt streams, and the engine would be
+    changed back as soon as it had changed.
     """
     view = make_view(2, 4, of_all("p", 2, 2.0), of_all("d", 4, 0.45))
     assert watch(make_plan(), view, seconds=60.0)[0] is None
 
 
 def test_loads_that_alternate_move_no_engine_back_and_forth():
-    """Long prompts and long answers trade places every 2.8 s.
+    """Long prompts and long answers alternate every 2.8 s.
 
-    A change takes 3 s: an engine that followed them would be away for most of
-    the time. One may settle where it is missed more, none returns.
+    A change takes 3 s, so an engine that followed them would be out of service
+    for most of the time. One engine may change once, none changes back.
     """
     plan, now, prefillers, decoders = make_plan(), 0.0, 3, 6
     stages = []
@@ -124,10 +124,10 @@
 
 
 def test_one_engine_that_hangs_calls_for_no_change():
-    """One engine of six generates no more and was not noticed to be lost.
+    """One of six decode engines hangs and is not yet detected as lost.
 
-    What waits there grows by a second each second. The mean of all six would
-    pass any limit, and take an engine from those that read.
+    Its wait grows by a second each second. Unlimited, the mean of all six
+    would exceed any threshold and cost a prefill engine.
     """
     plan = make_plan()
     for number in range(40):
@@ -145,9 +145,9 @@
 
 
 def test_engines_that_have_to_generate_stay():
-    """Three of five engines generate, and long prompts wait.
+    """Three of five engines decode, and long prompts wait.
 
-    With one fewer, a crash and a planned leaving at the same time would end
+    With one fewer, a crash during a planned shutdown of another would stop
     every answer.
     """
     for prefillers, decoders in (
@@ -164,10 +164,10 @@
 
 
 def test_lost_generating_engines_are_replaced():
-    """The engines that generate crash; those that read stand.
+    """All decode engines crash while the prefill engines stay up.
 
-    Every prompt would be read and none answered, for as long as the others
-    are away.
+    Until the others are back, every prompt would be prefilled and none
+    answered.
     """
     view = make_view(3, 0, {"p0": 0.4, "p1": 0.0, "p2": 0.2})
     change, at = watch(make_plan(), view, seconds=5.0)
@@ -176,9 +176,9 @@
 
 
 def test_engine_that_does_not_take_the_order_is_passed_over():
-    """The engines that generate crash, and so does an idle reader.
+    """The decode engines crash, and so does an idle prefill engine.
 
-    An order to that reader fails; waiting as after a change that was made
+    An order to that engine fails. Waiting as long as after a successful change
     would leave all callers without an answer for seconds more.
     """
     plan, view = make_plan(), make_view(3, 0)
@@ -198,9 +198,9 @@
 
 
 def test_large_fleet_changes_several_engines_at_a_time():
-    """Long prompts wait at a third of 48 engines, for as long as it takes.
+    """Long prompts keep waiting at a third of 48 engines.
 
-    One change in five seconds would move two engines of a hundred, while
+    One change every five seconds would move two engines of a hundred while
     prompts are refused.
     """
     plan, view = make_plan(), make_view(16, 32, of_all("p", 16, 2.0))
@@ -214,10 +214,10 @@
 
 
 def test_busy_generating_engines_are_not_taken_from_a_large_fleet():
-    """A burst of short prompts follows one of long ones.
+    """A burst of short prompts follows a burst of long ones.
 
-    Engine after engine was taken to read long prompts, and the short ones,
-    which are read where they are generated, came late.
+    If engine after engine changes to prefill long prompts, the short ones,
+    which are prefilled by the decode engines, are late.
     """
     plan = make_plan()
     crowded = of_all("d", 32, 0.7)
@@ -235,10 +235,10 @@
 
 
 def test_fleet_without_routes_is_left_alone():
-    """A gateway has read the endpoints and no configuration yet.
+    """A gateway has read the endpoints but no configuration yet.
 
-    Without a target every wait would look long, and an engine changed its
-    role before the first request.
+    Without a latency target every wait would look long, and an engine would
+    change its stage before the first request.
     """
     view = attrs.evolve(make_view(0, 4), target_s=0.0)
     assert watch(make_plan(), view, seconds=10.0)[0] is None
--- a/packages/bulrushgrade/tests/test_subset.py
+++ b/packages/bulrushgrade/tests/test_subset.py
@@ -22,7 +22,7 @@
 
 
 def make_fleet(daemons, engines, zones=ZONES):
-    """Returns daemons d0.. and engines e0.. dealt out over the zones."""
+    """Returns daemons d0.. and engines e0.. spread evenly over the zones."""
     entry, engine = membership.Kind.ENTRY, membership.Kind.ENGINE
     hosts = [
         make_host(f"d{i}", entry, zones[i % len(zones)]) for i in range(daemons)
--- a/packages/bulrushgrade/tests/test_usagewindows.py
+++ b/packages/bulrushgrade/tests/test_usagewindows.py
@@ -1,4 +1,4 @@
-"""Tests of counting requests by window and reporting each window once."""
+"""Tests of counting requests by window and reporting each window."""
 
 import hypothesis
 from hypothesis import stateful
@@ -36,7 +36,7 @@
 
 
 def test_daemon_that_stays_silent_does_not_hold_up_a_report():
-    """Guards against a host that is gone making every report late."""
+    """Guards against a lost host that makes every report late."""
     reports = make()
     reports.take_counts("a", 20, {"dealer": 2}, is_whole=True)
     reports.take_counts("b", 20, {"dealer": 1}, is_whole=False)
@@ -56,7 +56,7 @@
 
 
 def test_successor_repeats_exactly_what_was_recorded():
-    """Guards against two reports of a window with different counts."""
+    """Guards against two reports of one window with different counts."""
     recorded = usagewindows.UsageRecord(
         holder="b", window=20, counts={"dealer": 7}
     )
@@ -74,7 +74,7 @@
 
 
 def test_successor_repeats_only_what_may_not_have_been_accepted():
-    """Guards against new reports that wait behind repeats of old ones."""
+    """Guards against new reports that wait for repetitions of old ones."""
     reports = make()
     for window in (20, 21, 22):
         reports.take_record(
@@ -112,7 +112,7 @@
 
 
 def test_window_whose_record_may_be_lost_is_not_reported_anew():
-    """Guards against a second report after the store dropped its history."""
+    """Guards against a different report after the store dropped its history."""
     reports = make()
     reports.note_gap(106.0)
     for window in (20, 21, 22):
@@ -128,15 +128,15 @@
     assert reports.next_record(121.0, ["b"]).window == 22
     reports.take_record(reports.next_record(121.0, ["b"]))
     reports.note_accepted(22)
-    # A window of its own time is reported though nothing began in it.
+    # A window after the daemon's start is reported even if it has no requests.
     reports.take_counts("a", 24, {}, is_whole=True)
     assert reports.next_record(126.5, ["a"]).counts == {}
 
 
 class ReportsMachine(stateful.RuleBasedStateMachine):
-    """Daemons report in turn from one log, with sends that get lost.
+    """Daemons report in turn from one log, and some reports are lost.
 
-    Whatever is sent of a window must be the same each time.
+    All reports of a window must have the same counts.
     """
 
     def __init__(self):
--- a/packages/bulrushgrade/tests/test_workspaces.py
+++ b/packages/bulrushgrade/tests/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Tests of finding the workspace of a key."""
+"""Tests of the lookup of a key's workspace."""
 
 from bulrushgrade import workspaces
 
@@ -30,7 +30,7 @@
 
 
 def test_key_stands_in_no_text_of_a_ring():
-    """Guards against keys in dumps and logs."""
+    """Guards against keys that appear in dumps and logs."""
     shown = repr(vars(RING)) + workspaces.make_key_id(OLD)
     assert "old" not in shown
     assert len(workspaces.make_key_id(OLD)) == workspaces.KEY_ID_DIGITS
