--- a/packages/bulrushgrade/bulrushgrade/capacityplan.py
+++ b/packages/bulrushgrade/bulrushgrade/capacityplan.py
@@ -122,24 +122,24 @@
         """The number of engines that the service needs, or None if unknown."""
         return self._needed
 
-    def take_record(self, record: CapacityRecord, now: float) -> None:
+    def apply_record(self, record: CapacityRecord, now: float) -> None:
         """Applies a recorded order of any host."""
         self._needed = record.needed
         pool = record.zone, record.is_spot
         self._ordered[pool] = _Ordered(count=record.count, at=now)
 
-    def note_taken(self, order: CapacityRecord) -> None:
+    def record_acceptance(self, order: CapacityRecord) -> None:
         """Records that a zone accepted an order."""
         self._refusing.discard((order.zone, order.is_spot))
 
-    def note_refusal(self, order: CapacityRecord, now: float) -> None:
+    def record_refusal(self, order: CapacityRecord, now: float) -> None:
         """Records that a zone has no such engines available now."""
         pool = order.zone, order.is_spot
         self._refusing.add(pool)
         self._retry_at[pool] = now + REFUSAL_RETRY_S
         self._ordered.pop(pool, None)
 
-    def note_failure(self, order: CapacityRecord, now: float) -> None:
+    def record_failure(self, order: CapacityRecord, now: float) -> None:
         """Records that the outcome of an order is unknown."""
         self._ordered.pop((order.zone, order.is_spot), None)
         self._paused_until = now + RETRY_S
--- a/packages/bulrushgrade/bulrushgrade/crashledger.py
+++ b/packages/bulrushgrade/bulrushgrade/crashledger.py
@@ -116,7 +116,7 @@
         """The fingerprints of requests that are blamed for crashes."""
         return frozenset(self._find_blamed())
 
-    def take(self, involvement: Involvement, *, now: float) -> None:
+    def add_involvement(self, involvement: Involvement, *, now: float) -> None:
         """Adds an involvement unless it is already known."""
         if involvement.key in self._entries:
             return
--- a/packages/bulrushgrade/bulrushgrade/rolechange.py
+++ b/packages/bulrushgrade/bulrushgrade/rolechange.py
@@ -210,7 +210,7 @@
         limit_s = limits_s.get(self.phase)
         return limit_s is not None and now >= self._phase_since + limit_s
 
-    def note_views(self, *, all_dropped: bool, now: float) -> None:
+    def observe_drops(self, *, all_dropped: bool, now: float) -> None:
         """Records whether all known daemons report to have dropped the engine.
 
         Args:
@@ -222,22 +222,22 @@
         elif self._dropped_at is None:
             self._dropped_at = now
 
-    def note_in_flight(self, count: int) -> None:
+    def observe_in_flight(self, count: int) -> None:
         """Records the daemons' own count of requests on the engine."""
         self._in_flight = count
 
-    def note_load(self, load: Load) -> None:
+    def observe_load(self, load: Load) -> None:
         """Records the engine's report of its own work."""
         self._load = load
         self._refusing = load.refusing
         if not load.refusing:
             self._refusing_at = None
 
-    def note_proposed(self) -> None:
+    def record_proposal(self) -> None:
         """Records that the order was proposed, with its intent on the way."""
         self._proposed = True
 
-    def note_outcome(self, seen: orderlog.Wanted, now: float) -> None:
+    def observe_outcome(self, seen: orderlog.Wanted, now: float) -> None:
         """Records the role and model observed after the order has ended."""
         if self.phase == "ordering":
             self._outcome = seen
--- a/packages/bulrushgrade/bulrushgrade/roleplan.py
+++ b/packages/bulrushgrade/bulrushgrade/roleplan.py
@@ -121,15 +121,17 @@
         counts[new.value] += 1
         return _Split(**counts)
 
-    def unserved_engines(self, reading: float, answering: float) -> float:
+    def unserved_engines(
+        self, prefill_demand: float, decode_demand: float
+    ) -> float:
         """Returns how many more engines the demand would need.
 
         Args:
-            reading: Prefill demand in units of prefill engines.
-            answering: Decode demand in units of decode engines.
+            prefill_demand: Prefill demand in units of prefill engines.
+            decode_demand: Decode demand in units of decode engines.
         """
-        over = max(0.0, reading - self.prefill)
-        over += max(0.0, answering - self.decode)
+        over = max(0.0, prefill_demand - self.prefill)
+        over += max(0.0, decode_demand - self.decode)
         return max(0.0, over - self.mixed * MIXED_EFFICIENCY)
 
 
@@ -233,7 +235,7 @@
             return None
         return best
 
-    def note_change(self, change: RoleChange, now: float) -> None:
+    def record_change(self, change: RoleChange, now: float) -> None:
         """Records that a proposed change was ordered."""
         self._last_change = now
         self._changed_at[change.endpoint] = now
@@ -245,17 +247,19 @@
         found = []
         per_s = 1.0 / (BUCKET_S * MAX_UTILIZATION)
         memory = min((e.kv_capacity_tokens for e in view.endpoints), default=0)
-        for start, read, answered, held, lost in self._buckets:
+        for start, prefilled, decoded, kv_held, lost in self._buckets:
             if start + BUCKET_S > now:
                 continue
-            reading = read * per_s / view.prefill_tokens_per_s
-            answering = answered * per_s / view.decode_tokens_per_s
+            prefill_demand = prefilled * per_s / view.prefill_tokens_per_s
+            decode_demand = decoded * per_s / view.decode_tokens_per_s
             # Long prompts exhaust an engine's memory long before its time is
             # used up. By tokens alone one engine would seem to be enough.
             if memory:
-                held_part = held / BUCKET_S / (USABLE_MEMORY_FRACTION * memory)
-                answering = max(answering, held_part)
-            found.append((reading, answering, lost / BUCKET_S))
+                kv_demand = (
+                    kv_held / BUCKET_S / (USABLE_MEMORY_FRACTION * memory)
+                )
+                decode_demand = max(decode_demand, kv_demand)
+            found.append((prefill_demand, decode_demand, lost / BUCKET_S))
         return found
 
     def _candidate(
@@ -275,11 +279,11 @@
         return min(free)[1] if free else None
 
     def _is_below_floor(self, split: _Split) -> bool:
-        readers = split.prefill + split.mixed
-        answerers = split.decode + split.mixed
-        engines = split.prefill + answerers
+        prefill_capable = split.prefill + split.mixed
+        decode_capable = split.decode + split.mixed
+        engines = split.prefill + decode_capable
         floor = max(1, min(self._floor, engines // 2))
-        return min(readers, answerers) < floor
+        return min(prefill_capable, decode_capable) < floor
 
     def _is_change_running(self, view: GroupView, now: float) -> bool:
         """Returns whether an engine is out of service for a change.
@@ -320,11 +324,11 @@
     # of the fleet has neither queues nor caches.
     gains = [
         min(
-            before.unserved_engines(reading, answering)
-            - after.unserved_engines(reading, answering),
+            before.unserved_engines(prefill_demand, decode_demand)
+            - after.unserved_engines(prefill_demand, decode_demand),
             lost,
         )
-        for reading, answering, lost in demands
+        for prefill_demand, decode_demand, lost in demands
     ]
     short = gains[-RECENT_BUCKETS:]
     mean = sum(gains) / len(gains)
--- a/packages/bulrushgrade/bulrushgrade/stagechanges.py
+++ b/packages/bulrushgrade/bulrushgrade/stagechanges.py
@@ -33,7 +33,7 @@
     def __init__(self):
         self._changes: dict[tuple[str, int], _Change] = {}
 
-    def note(
+    def record(
         self,
         engine: directory.Registration,
         stage: directory.Stage,
--- a/packages/bulrushgrade/bulrushgrade/stageplan.py
+++ b/packages/bulrushgrade/bulrushgrade/stageplan.py
@@ -135,7 +135,7 @@
         """The smoothed mean saturation of the decode engines."""
         return self._saturation
 
-    def note_change(self, view: ServiceView, now: float) -> None:
+    def record_change(self, view: ServiceView, now: float) -> None:
         """Records an ordered change and pauses proposals until it settles.
 
         Args:
@@ -149,7 +149,9 @@
             # The wait before the change does not describe the new fleet.
             self._wait_s = 0.0
 
-    def note_refusal(self, engine: str, view: ServiceView, now: float) -> None:
+    def record_refusal(
+        self, engine: str, view: ServiceView, now: float
+    ) -> None:
         """Records that an engine did not accept an order.
 
         It may have crashed or be carrying out another order.
--- a/packages/bulrushgrade/bulrushgrade/usagewindows.py
+++ b/packages/bulrushgrade/bulrushgrade/usagewindows.py
@@ -103,7 +103,7 @@
         self._windows = windows
         self._counts: dict[int, Counts] = {}
 
-    def note(self, workspace: str, at: float) -> None:
+    def count_request(self, workspace: str, at: float) -> None:
         """Counts a request that started at a wall-clock time."""
         counts = self._counts.setdefault(self._windows.number(at), {})
         counts[workspace] = counts.get(workspace, 0) + 1
@@ -155,12 +155,12 @@
         """The number of retained windows whose report was accepted."""
         return len(self._accepted)
 
-    def take_record(self, record: UsageRecord) -> None:
+    def apply_record(self, record: UsageRecord) -> None:
         """Applies a record; only the first one of a window counts."""
         self._recorded.setdefault(record.window, record.counts)
         self._accepted.update(record.accepted)
 
-    def note_gap(self, now: float) -> None:
+    def record_gap(self, now: float) -> None:
         """Records that some records were dropped unread."""
         self._complete_from = now
 
@@ -168,11 +168,11 @@
         """Records an attempt to send a window's report."""
         self._attempted_at[window] = now
 
-    def note_accepted(self, window: int) -> None:
+    def record_acceptance(self, window: int) -> None:
         """Records that the platform accepted a window's report."""
         self._accepted.add(window)
 
-    def take_counts(
+    def store_counts(
         self, daemon: str, window: int, counts: Counts, *, is_whole: bool
     ) -> bool:
         """Stores a daemon's counts; later ones replace earlier ones.
--- a/packages/bulrushgrade/tests/capacityscene.py
+++ b/packages/bulrushgrade/tests/capacityscene.py
@@ -49,11 +49,11 @@
     def give(self, order):
         self.orders.append((self.now, order))
         pool = order.zone, order.is_spot
-        self.plan.take_record(order, self.now)
+        self.plan.apply_record(order, self.now)
         if order.is_spot and order.zone in self.refusing:
-            self.plan.note_refusal(order, self.now)
+            self.plan.record_refusal(order, self.now)
             return
-        self.plan.note_taken(order)
+        self.plan.record_acceptance(order)
         running = self.running.get(pool, 0)
         if order.count <= running:
             self.running[pool] = order.count
--- a/packages/bulrushgrade/tests/test_capacityplan.py
+++ b/packages/bulrushgrade/tests/test_capacityplan.py
@@ -113,7 +113,7 @@
     fleet = Fleet()
     fleet.run(3.5)
     (_, order) = fleet.orders[0]
-    fleet.plan.note_failure(order, fleet.now)
+    fleet.plan.record_failure(order, fleet.now)
     assert fleet.plan.propose(fleet.view(), fleet.now) is None
     again = fleet.plan.propose(fleet.view(), fleet.now + 1.0)
     assert (again.zone, again.is_spot) == (order.zone, order.is_spot)
--- a/packages/bulrushgrade/tests/test_crashledger.py
+++ b/packages/bulrushgrade/tests/test_crashledger.py
@@ -25,7 +25,9 @@
     for endpoint in endpoints:
         for request in requests.split():
             fields = {"zone": f"z{endpoint}"} | changes
-            ledger.take(involve(request, endpoint, **fields), now=now)
+            ledger.add_involvement(
+                involve(request, endpoint, **fields), now=now
+            )
 
 
 def test_third_crash_of_a_request_quarantines_it():
@@ -36,7 +38,7 @@
     assert ledger.blamed == {"bad"}
 
 
-def test_crash_that_several_hosts_tell_of_counts_once():
+def test_crash_that_several_hosts_report_counts_once():
     """Guards against counting the same two crashes once per reporting host."""
     ledger = crashledger.CrashLedger()
     for _ in range(3):
@@ -48,7 +50,7 @@
 def test_start_again_under_the_same_id_is_another_endpoint():
     ledger = crashledger.CrashLedger()
     for born in range(3):
-        ledger.take(
+        ledger.add_involvement(
             crashledger.Involvement(
                 fingerprint="bad",
                 caller="c1",
@@ -112,18 +114,18 @@
     ledger = crashledger.CrashLedger()
     for number, endpoint in enumerate(("e1", "e2", "e3", "e4")):
         at = 0.2 * number
-        ledger.take(involve("other", endpoint), now=at)
+        ledger.add_involvement(involve("other", endpoint), now=at)
     for number, endpoint in enumerate(("e1", "e3", "e4")):
-        ledger.take(involve("good", endpoint), now=0.2 * number)
+        ledger.add_involvement(involve("good", endpoint), now=0.2 * number)
     assert "good" not in ledger.blamed
 
 
 def test_crashes_of_one_zone_alone_are_a_request_s_own():
     """A service has endpoints in one zone only, and nothing else crashes."""
     ledger = crashledger.CrashLedger()
-    ledger.take(involve("other", "e0"), now=0.0)
+    ledger.add_involvement(involve("other", "e0"), now=0.0)
     for number, endpoint in enumerate(("e1", "e2", "e3")):
-        ledger.take(involve("bad", endpoint), now=FAR_S + number)
+        ledger.add_involvement(involve("bad", endpoint), now=FAR_S + number)
     assert ledger.blamed == {"bad"}
 
 
@@ -206,7 +208,7 @@
     ledger = crashledger.CrashLedger()
     crash(ledger, "bad", "e1", "e2", "e3")
     for number in range(crashledger.MAX_INVOLVEMENTS + 50):
-        ledger.take(involve(f"r{number}", "e9"), now=1.0)
+        ledger.add_involvement(involve(f"r{number}", "e9"), now=1.0)
     dropped = ledger.expire(1.0)
     assert len(ledger) == crashledger.MAX_INVOLVEMENTS
     assert len(dropped) == 53
@@ -243,14 +245,14 @@
         involvement = involve(request, endpoint, zone=zone, begun=begun)
         if involvement.key in self.one:
             return
-        self.one.take(involvement, now=self.now)
+        self.one.add_involvement(involvement, now=self.now)
         self.waiting.append(involvement)
 
     @stateful.rule(data=st.data())
     def learn(self, data):
         if self.waiting:
             number = data.draw(st.integers(0, len(self.waiting) - 1))
-            self.other.take(self.waiting.pop(number), now=self.now)
+            self.other.add_involvement(self.waiting.pop(number), now=self.now)
 
     @stateful.rule(request=st.sampled_from("abc"))
     def run_to_its_end(self, request):
--- a/packages/bulrushgrade/tests/test_peerview.py
+++ b/packages/bulrushgrade/tests/test_peerview.py
@@ -77,7 +77,7 @@
     assert isinstance(view.accept(late), Failure)
 
 
-def test_unheard_peer_does_not_count_as_having_withdrawn():
+def test_peer_without_messages_does_not_count_as_withdrawn():
     view = peerview.PeerView()
     view.accept(make_withdrawn("e"))
     assert view.find_unconfirmed("e", ["p", "q"]) == ("q",)
--- a/packages/bulrushgrade/tests/test_roleplan.py
+++ b/packages/bulrushgrade/tests/test_roleplan.py
@@ -26,16 +26,16 @@
 def _feed(plan, steps, *, start=0.0, lost=1.0):
     """Feeds ten-second steps of demand in engines; returns the end time."""
     plan.observe("h", work.Demand(model="m"), start)
-    now, read, answered, refused = start, 0.0, 0.0, 0.0
-    for reading, answering in steps:
+    now, prefilled, decoded, refused = start, 0.0, 0.0, 0.0
+    for prefill_demand, decode_demand in steps:
         for _ in range(5):
             now += 2.0
-            read += reading * 8000.0 * 2.0
-            answered += answering * 1000.0 * 2.0
+            prefilled += prefill_demand * 8000.0 * 2.0
+            decoded += decode_demand * 1000.0 * 2.0
             refused += lost * 2.0
             demand = work.Demand(
-                model="m", prefill_tokens=round(read),
-                output_tokens=round(answered), lost_s=refused,
+                model="m", prefill_tokens=round(prefilled),
+                output_tokens=round(decoded), lost_s=refused,
             )  # fmt: skip
             plan.observe("h", demand, now - 0.1)
     return now
@@ -50,7 +50,7 @@
     change = plan.propose(_view(FLEET, now), now)
     assert change.role is PREFILL
     assert change.endpoint in ("e2", "e3", "e4")
-    plan.note_change(change, now)
+    plan.record_change(change, now)
     assert plan.propose(_view(FLEET, now + 1.0), now + 1.0) is None
 
 
@@ -97,7 +97,7 @@
     assert plan.propose(view, now) is not None
 
 
-def test_floor_keeps_two_that_answer():
+def test_floor_keeps_two_engines_that_decode():
     plan = roleplan.RolePlan()
     now = _feed(plan, [(5.0, 0.2)] * 6, lost=3.0)
     fleet = (PREFILL, PREFILL, PREFILL, DECODE, DECODE)
--- a/packages/bulrushgrade/tests/test_stagechanges.py
+++ b/packages/bulrushgrade/tests/test_stagechanges.py
@@ -26,7 +26,7 @@
 
 def changing():
     changes = stagechanges.StageChanges()
-    changes.note(engine(), READ, change_s=3.0, now=0.0)
+    changes.record(engine(), READ, change_s=3.0, now=0.0)
     return changes
 
 
--- a/packages/bulrushgrade/tests/test_stageplan.py
+++ b/packages/bulrushgrade/tests/test_stageplan.py
@@ -53,7 +53,7 @@
     return None, now
 
 
-def test_lasting_wait_turns_a_generating_engine_into_a_reader():
+def test_lasting_wait_changes_a_decode_engine_to_prefill():
     """Long prompts arrive faster than two engines can prefill them.
 
     Four decode engines have spare capacity while prompts are refused.
@@ -66,7 +66,7 @@
     assert at > STEP_S
 
 
-def test_crowded_engines_get_one_back():
+def test_saturated_decode_engines_get_one_back():
     """Long answers follow long prompts for which a decode engine was changed.
 
     Streams stall and are preempted at the decode engines while the prefill
@@ -83,7 +83,7 @@
     assert watch(make_plan(), view, seconds=60.0)[0] is None
 
 
-def test_no_engine_is_given_up_that_would_be_missed():
+def test_no_decode_engine_changes_without_spare_capacity():
     """Prompts wait, and the decode engines are half saturated.
 
     Without one of them a burst would preempt streams, and the engine would be
@@ -116,7 +116,7 @@
             change, now = watch(plan, view, seconds=end - now, start=now)
             if change is not None:
                 stages.append(change.stage)
-                plan.note_change(view, now)
+                plan.record_change(view, now)
                 prefillers += 1 if change.stage is PREFILL else -1
                 decoders += 1 if change.stage is DECODE else -1
                 break
@@ -144,7 +144,7 @@
     assert watch(plan, idle, seconds=5.0, start=0.5)[0] is None
 
 
-def test_engines_that_have_to_generate_stay():
+def test_minimum_of_decode_engines_is_kept():
     """Three of five engines decode, and long prompts wait.
 
     With one fewer, a crash during a planned shutdown of another would stop
@@ -163,7 +163,7 @@
         assert change is None or change.stage is DECODE
 
 
-def test_lost_generating_engines_are_replaced():
+def test_lost_decode_engines_are_replaced():
     """All decode engines crash while the prefill engines stay up.
 
     Until the others are back, every prompt would be prefilled and none
@@ -175,7 +175,7 @@
     assert at == 0.0
 
 
-def test_engine_that_does_not_take_the_order_is_passed_over():
+def test_engine_that_refuses_the_order_is_skipped():
     """The decode engines crash, and so does an idle prefill engine.
 
     An order to that engine fails. Waiting as long as after a successful change
@@ -183,7 +183,7 @@
     """
     plan, view = make_plan(), make_view(3, 0)
     first, at = watch(plan, view, seconds=1.0)
-    plan.note_refusal(first.engine.id, view, at)
+    plan.record_refusal(first.engine.id, view, at)
     second, later = watch(plan, view, seconds=3.0, start=at)
     assert second.engine.id != first.engine.id
     assert later - at <= stageplan.RETRY_CHECKS * STEP_S + STEP_S
@@ -192,7 +192,7 @@
 def test_next_change_waits_until_the_last_has_settled():
     plan, view = make_plan(), make_view(2, 5, of_all("p", 2, 2.0))
     _, at = watch(plan, view, seconds=10.0)
-    plan.note_change(view, at)
+    plan.record_change(view, at)
     _, again = watch(plan, view, seconds=20.0, start=at)
     assert again - at >= CHANGE_S + SETTLE_S
 
@@ -209,32 +209,32 @@
         change, now = watch(plan, view, seconds=1.0, start=now)
         if change is not None:
             changes += 1
-            plan.note_change(view, now)
+            plan.record_change(view, now)
     assert 14 <= changes <= 24
 
 
-def test_busy_generating_engines_are_not_taken_from_a_large_fleet():
+def test_busy_decode_engines_of_a_large_fleet_do_not_change():
     """A burst of short prompts follows a burst of long ones.
 
     If engine after engine changes to prefill long prompts, the short ones,
     which are prefilled by the decode engines, are late.
     """
     plan = make_plan()
-    crowded = of_all("d", 32, 0.7)
+    saturated = of_all("d", 32, 0.7)
     long = of_all("p", 16, 2.0)
-    assert watch(plan, make_view(16, 32, {}, crowded), seconds=5.0)[0] is None
-    both = make_view(16, 32, long, crowded)
+    assert watch(plan, make_view(16, 32, {}, saturated), seconds=5.0)[0] is None
+    both = make_view(16, 32, long, saturated)
     assert watch(plan, both, seconds=20.0, start=5.0)[0] is None
     change, _ = watch(plan, make_view(16, 32, long), seconds=9.0, start=25.0)
     assert change.stage is PREFILL
 
 
-def test_calm_fleet_is_left_alone():
+def test_idle_fleet_does_not_change():
     view = make_view(2, 3, of_all("p", 2, 0.1), of_all("d", 3, 0.3))
     assert watch(make_plan(), view, seconds=60.0)[0] is None
 
 
-def test_fleet_without_routes_is_left_alone():
+def test_fleet_without_routes_does_not_change():
     """A gateway has read the endpoints but no configuration yet.
 
     Without a latency target every wait would look long, and an engine would
--- a/packages/bulrushgrade/tests/test_subset.py
+++ b/packages/bulrushgrade/tests/test_subset.py
@@ -52,7 +52,7 @@
     assert subsets.get_endpoints("not listed") == frozenset()
 
 
-def test_large_fleet_is_tied_by_own_zone_first():
+def test_large_fleet_prefers_endpoints_of_the_own_zone():
     hosts = make_fleet(40, 160)
     zone_of = {host.address: host.zone for host in hosts}
     subsets = make_subsets(hosts)
@@ -68,12 +68,12 @@
 
 def test_peers_are_those_who_share_an_endpoint():
     subsets = make_subsets(make_fleet(40, 160))
-    tied = collect(subsets, 40)
+    endpoints_of = collect(subsets, 40)
     peers = subsets.find_peers("d0")
     assert peers == {
-        daemon: tied["d0"] & endpoints
-        for daemon, endpoints in tied.items()
-        if daemon != "d0" and tied["d0"] & endpoints
+        daemon: endpoints_of["d0"] & endpoints
+        for daemon, endpoints in endpoints_of.items()
+        if daemon != "d0" and endpoints_of["d0"] & endpoints
     }
 
 
@@ -87,7 +87,7 @@
 
 @hypothesis.given(strategies.integers(0, 159))
 @hypothesis.settings(max_examples=25)
-def test_loss_of_an_endpoint_moves_only_its_own_ties(lost):
+def test_loss_of_an_endpoint_changes_only_subsets_with_it(lost):
     hosts = make_fleet(24, 160)
     subsets = make_subsets(hosts)
     before = collect(subsets, 24)
--- a/packages/bulrushgrade/tests/test_usagewindows.py
+++ b/packages/bulrushgrade/tests/test_usagewindows.py
@@ -18,8 +18,8 @@
 def test_meter_counts_by_window_and_workspace():
     meter = usagewindows.UsageMeter(windows=WINDOWS)
     for at in (100.0, 104.99, 105.0):
-        meter.note("dealer", at)
-    meter.note("lessor", 101.0)
+        meter.count_request("dealer", at)
+    meter.count_request("lessor", 101.0)
     assert meter.counts(20) == {"dealer": 2, "lessor": 1}
     assert meter.counts(21) == {"dealer": 1}
     meter.forget(100.0 + 5.0 + usagewindows.RETENTION_FACTOR * WINDOWS.late_s)
@@ -28,18 +28,18 @@
 
 def test_window_is_reported_once_all_daemons_have_sent_theirs():
     reports = make()
-    reports.take_counts("a", 20, {"dealer": 2}, is_whole=True)
+    reports.store_counts("a", 20, {"dealer": 2}, is_whole=True)
     assert reports.next_record(106.5, ["a", "b"]) is None
-    reports.take_counts("b", 20, {"dealer": 1, "lessor": 1}, is_whole=True)
+    reports.store_counts("b", 20, {"dealer": 1, "lessor": 1}, is_whole=True)
     found = reports.next_record(106.5, ["a", "b"])
     assert (found.window, found.counts) == (20, {"dealer": 3, "lessor": 1})
 
 
-def test_daemon_that_stays_silent_does_not_hold_up_a_report():
+def test_silent_daemon_does_not_delay_a_report():
     """Guards against a lost host that makes every report late."""
     reports = make()
-    reports.take_counts("a", 20, {"dealer": 2}, is_whole=True)
-    reports.take_counts("b", 20, {"dealer": 1}, is_whole=False)
+    reports.store_counts("a", 20, {"dealer": 2}, is_whole=True)
+    reports.store_counts("b", 20, {"dealer": 1}, is_whole=False)
     waits_s = usagewindows.WAIT_FRACTION * WINDOWS.late_s
     assert reports.next_record(105.0 + waits_s - 0.1, ["a", "b"]) is None
     found = reports.next_record(105.0 + waits_s, ["a", "b"])
@@ -48,9 +48,9 @@
 
 def test_later_counts_replace_earlier_ones_and_late_copies_do_not():
     reports = make()
-    reports.take_counts("a", 20, {"dealer": 1}, is_whole=False)
-    assert reports.take_counts("a", 20, {"dealer": 3}, is_whole=True)
-    reports.take_counts("a", 20, {"dealer": 1}, is_whole=False)
+    reports.store_counts("a", 20, {"dealer": 1}, is_whole=False)
+    assert reports.store_counts("a", 20, {"dealer": 3}, is_whole=True)
+    reports.store_counts("a", 20, {"dealer": 1}, is_whole=False)
     found = reports.next_record(107.0, ["a"])
     assert found.counts == {"dealer": 3}
 
@@ -61,15 +61,15 @@
         holder="b", window=20, counts={"dealer": 7}
     )
     reports = make()
-    reports.take_record(recorded)
-    assert reports.take_counts("a", 20, {"dealer": 9}, is_whole=True)
+    reports.apply_record(recorded)
+    assert reports.store_counts("a", 20, {"dealer": 9}, is_whole=True)
     found = reports.next_record(107.0, ["a"])
     assert (found.window, found.counts) == (20, {"dealer": 7})
-    reports.take_record(
+    reports.apply_record(
         usagewindows.UsageRecord(holder="c", window=20, counts={"dealer": 1})
     )
     assert reports.next_record(107.0, ["a"]).counts == {"dealer": 7}
-    reports.note_accepted(20)
+    reports.record_acceptance(20)
     assert reports.next_record(107.0, ["a"]) is None
 
 
@@ -77,7 +77,7 @@
     """Guards against new reports that wait for repetitions of old ones."""
     reports = make()
     for window in (20, 21, 22):
-        reports.take_record(
+        reports.apply_record(
             usagewindows.UsageRecord(
                 holder="b",
                 window=window,
@@ -86,19 +86,19 @@
             )
         )
     assert reports.next_record(117.0, ["a"]).window == 22
-    reports.note_accepted(22)
+    reports.record_acceptance(22)
     assert reports.next_record(117.0, ["a"]) is None
 
 
-def test_report_that_is_rejected_holds_up_no_other():
+def test_rejected_report_does_not_delay_others():
     reports = make()
     for window in (20, 21):
-        reports.take_counts("a", window, {"dealer": 1}, is_whole=True)
-    reports.take_record(reports.next_record(112.0, ["a"]))
+        reports.store_counts("a", window, {"dealer": 1}, is_whole=True)
+    reports.apply_record(reports.next_record(112.0, ["a"]))
     reports.record_attempt(20, 112.0)
     assert reports.next_record(112.1, ["a"]).window == 21
-    reports.take_record(reports.next_record(112.1, ["a"]))
-    reports.note_accepted(21)
+    reports.apply_record(reports.next_record(112.1, ["a"]))
+    reports.record_acceptance(21)
     later = 112.0 + usagewindows.RETRY_S
     assert reports.next_record(later, ["a"]).window == 20
 
@@ -106,7 +106,7 @@
 def test_report_that_can_be_in_time_goes_before_one_that_is_late():
     reports = make()
     for window in (20, 21):
-        reports.take_counts("a", window, {"dealer": 1}, is_whole=True)
+        reports.store_counts("a", window, {"dealer": 1}, is_whole=True)
     assert reports.next_record(114.0, ["a"]).window == 20
     assert reports.next_record(116.0, ["a"]).window == 21
 
@@ -114,9 +114,9 @@
 def test_window_whose_record_may_be_lost_is_not_reported_anew():
     """Guards against a different report after the store dropped its history."""
     reports = make()
-    reports.note_gap(106.0)
+    reports.record_gap(106.0)
     for window in (20, 21, 22):
-        reports.take_counts("a", window, {"dealer": 1}, is_whole=True)
+        reports.store_counts("a", window, {"dealer": 1}, is_whole=True)
     assert reports.next_record(111.5, ["a"]) is None
     assert reports.next_record(116.5, ["a"]).window == 22
 
@@ -124,12 +124,12 @@
 def test_windows_before_the_start_are_reported_only_with_counts():
     reports = make(started_at=120.0)
     assert reports.next_record(121.0, ["a"]) is None
-    reports.take_counts("b", 22, {"dealer": 1}, is_whole=True)
+    reports.store_counts("b", 22, {"dealer": 1}, is_whole=True)
     assert reports.next_record(121.0, ["b"]).window == 22
-    reports.take_record(reports.next_record(121.0, ["b"]))
-    reports.note_accepted(22)
+    reports.apply_record(reports.next_record(121.0, ["b"]))
+    reports.record_acceptance(22)
     # A window after the daemon's start is reported even if it has no requests.
-    reports.take_counts("a", 24, {}, is_whole=True)
+    reports.store_counts("a", 24, {}, is_whole=True)
     assert reports.next_record(126.5, ["a"]).counts == {}
 
 
@@ -159,7 +159,7 @@
     )
     def count(self, to, by, count, is_whole):
         window = WINDOWS.number(self.now) - 1
-        self.reports[to].take_counts(
+        self.reports[to].store_counts(
             by, window, {"dealer": count}, is_whole=is_whole
         )
 
@@ -176,17 +176,17 @@
     def report(self, name, is_sent, is_answered):
         reports = self.reports[name]
         for record in self.log[self.read[name] :]:
-            reports.take_record(record)
+            reports.apply_record(record)
         record = reports.next_record(self.now, [name])
         if record is not None:
             self.log.append(record)
-            reports.take_record(record)
+            reports.apply_record(record)
         self.read[name] = len(self.log)
         if record is None or not is_sent:
             return
         self.sent.setdefault(record.window, []).append(record.counts)
         if is_answered:
-            reports.note_accepted(record.window)
+            reports.record_acceptance(record.window)
 
     @stateful.invariant()
     def window_has_one_report(self):
--- a/packages/bulrushgrade/tests/test_workspaces.py
+++ b/packages/bulrushgrade/tests/test_workspaces.py
@@ -29,7 +29,7 @@
     assert ring.lowest_priority == 0
 
 
-def test_key_stands_in_no_text_of_a_ring():
+def test_key_appears_in_no_text_of_a_ring():
     """Guards against keys that appear in dumps and logs."""
     shown = repr(vars(RING)) + workspaces.make_key_id(OLD)
     assert "old" not in shown
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
@@ -124,16 +124,16 @@
         if isinstance(sent, Failure):
             outcome = sent.failure().reason
             if order is not None:
-                plan.note_failure(order, now)
+                plan.record_failure(order, now)
         else:
             outcome = sent.unwrap().value
             match sent.unwrap():
                 case operatorcalls.CallOutcome.TAKEN:
-                    plan.note_taken(order)
+                    plan.record_acceptance(order)
                 case operatorcalls.CallOutcome.UNAVAILABLE:
-                    plan.note_refusal(order, now)
+                    plan.record_refusal(order, now)
                 case operatorcalls.CallOutcome.REJECTED:
-                    plan.note_failure(order, now)
+                    plan.record_failure(order, now)
         self._outcomes[outcome] = self._outcomes.get(outcome, 0) + 1
         if order is None:
             return
@@ -160,4 +160,4 @@
         self, record: orderrecords.OrderRecord, number: int
     ) -> None:
         if isinstance(record, capacityplan.CapacityRecord):
-            self._plan(record.service).take_record(record, self._timers.now)
+            self._plan(record.service).apply_record(record, self._timers.now)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
@@ -300,7 +300,7 @@
         )
         if known is not None:
             now = self._timers.now
-            self._changes.note(known, stage, change_s=change_s, now=now)
+            self._changes.record(known, stage, change_s=change_s, now=now)
 
     def forget_gone(self) -> None:
         """Drops what is known of endpoints that are gone."""
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -165,7 +165,7 @@
             if involvement.key in self._ledger:
                 continue
             is_first = not self._ledger.involvements(run.fingerprint)
-            self._ledger.take(involvement, now=now)
+            self._ledger.add_involvement(involvement, now=now)
             if is_first and len(self._waiting) >= MOST_WAITING:
                 self._counts["left_out"] += 1
                 continue
@@ -214,7 +214,7 @@
             self._unreadable += 1
             self._log.note("record_unreadable", key=record.key)
         else:
-            self._ledger.take(involvement, now=self._timers.now)
+            self._ledger.add_involvement(involvement, now=self._timers.now)
 
     def _note_changes(self) -> None:
         before, now = self._logged, self._timers.now
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
@@ -161,7 +161,7 @@
         self._seen_at = now
         self.book.observe(address, seen_of(load), now)
         if self._change is not None and self._change.engine == address:
-            self._change.note_load(
+            self._change.observe_load(
                 rolechange.Load(
                     refusing=load.state != "serving",
                     requests=load.running + load.queued,
@@ -206,7 +206,7 @@
         if load is None:
             return
         before = wanted_of(load)
-        self._plan.note_change(proposed, now)
+        self._plan.record_change(proposed, now)
         self._counts["role_changes"] += 1
         self._change = rolechange.RoleChange(
             engine=proposed.endpoint,
@@ -263,14 +263,14 @@
             and wanted_of(load) == change.target
             and load.state == "serving"
         ):
-            change.note_outcome(wanted_of(load), now)
+            change.observe_outcome(wanted_of(load), now)
         action = change.tick(now)
         if action is rolechange.Action.ASK_DRAIN:
             self._parts.ask_drain(change.engine)
         elif action is rolechange.Action.PROPOSE:
             intent = self.book.propose(change.engine, change.target, now)
             if isinstance(intent, Success):
-                change.note_proposed()
+                change.record_proposal()
                 self._parts.append(intent.unwrap(), self.book.failed)
         if change.over:
             self._change = None
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
@@ -186,9 +186,9 @@
         now = self._timers.now
         if outcome in (TAKEN, UNANSWERED):
             # An order without an answer may still be carried out.
-            plan.note_change(view, now)
+            plan.record_change(view, now)
         else:
-            plan.note_refusal(change.engine.id, view, now)
+            plan.record_refusal(change.engine.id, view, now)
         if outcome == TAKEN:
             self._announce(change, view.change_s)
         self._log.note(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -172,7 +172,7 @@
             at: When, by the steady clock.
         """
         if workspace is not None:
-            self._meter.note(workspace.name, self._time.at(at))
+            self._meter.count_request(workspace.name, self._time.at(at))
 
     def receive(self, message: Any) -> None:
         """Takes a peer's counts, its reply to counts, or that it reports."""
@@ -279,7 +279,7 @@
         taken = [
             one.window
             for one in message.windows
-            if self._reports.take_counts(
+            if self._reports.store_counts(
                 message.peer,
                 one.window,
                 one.counts,
@@ -298,7 +298,7 @@
 
     def _act(self, now: float) -> None:
         for window in self._open_windows(now):
-            self._reports.take_counts(
+            self._reports.store_counts(
                 self._own_name,
                 window,
                 self._meter.counts(window),
@@ -367,7 +367,7 @@
         else:
             outcome = sent.unwrap().value
             if sent.unwrap() is operatorcalls.CallOutcome.TAKEN:
-                self._reports.note_accepted(record.window)
+                self._reports.record_acceptance(record.window)
         self._outcomes[outcome] = self._outcomes.get(outcome, 0) + 1
         if record is None:
             return
@@ -389,10 +389,10 @@
     ) -> None:
         match record:
             case usagewindows.UsageRecord():
-                self._reports.take_record(record)
+                self._reports.apply_record(record)
                 self._note_reporter(record.holder, number)
             case usagewindows.ReporterRecord():
                 self._note_reporter(record.holder, number)
 
     def _note_gap(self) -> None:
-        self._reports.note_gap(self._now)
+        self._reports.record_gap(self._now)
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -94,7 +94,7 @@
             involvement = involve(
                 request.fingerprint, endpoint.id, zone=endpoint.zone
             )
-            self._ledger.take(involvement, now=0.0)
+            self._ledger.add_involvement(involvement, now=0.0)
 
     async def settle(self, endpoint):
         """Has nothing to wait for."""
@@ -226,7 +226,9 @@
 
 def test_next_try_of_a_caller_avoids_the_zones_of_earlier_ones():
     scene = Scene(LOST, LOST, LOST)
-    scene.ledger.take(involve(name_request(), "e9", zone="z9"), now=0.0)
+    scene.ledger.add_involvement(
+        involve(name_request(), "e9", zone="z9"), now=0.0
+    )
     scene.send()
     assert scene.avoided[0] == {"z9"}
 
@@ -245,7 +247,7 @@
     scene = Scene(answer)
     caller = scene.send()
     for number in range(3):
-        scene.ledger.take(
+        scene.ledger.add_involvement(
             involve(name_request(), f"e{number}", zone=f"z{number}"), now=0.0
         )
     assert caller.answers == []
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/greedyplan.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/greedyplan.py
@@ -56,5 +56,5 @@
             endpoint=others[0].address, role=role, gain_s=0.0, cost_s=0.0
         )
 
-    def note_change(self, change: roleplan.RoleChange, now: float) -> None:
+    def record_change(self, change: roleplan.RoleChange, now: float) -> None:
         """Waits for nothing."""
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/replay.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/replay.py
@@ -55,7 +55,7 @@
     ) -> roleplan.RoleChange | None:
         """Returns a change to order."""
 
-    def note_change(self, change: roleplan.RoleChange, now: float) -> None:
+    def record_change(self, change: roleplan.RoleChange, now: float) -> None:
         """Notes that it was ordered."""
 
 
@@ -363,7 +363,7 @@
                     self._planner.observe(host.name, demand, now)
             change = self._planner.propose(self._group_view(holder), now)
             if change is not None:
-                self._planner.note_change(change, now)
+                self._planner.record_change(change, now)
                 self._order(change)
 
     def _group_view(self, holder: outcome.Host) -> roleplan.GroupView:
--- a/packages/bulrushgrade_standins/tests/test_replay.py
+++ b/packages/bulrushgrade_standins/tests/test_replay.py
@@ -154,7 +154,7 @@
             cost_s=0.0,
         )
 
-    def note_change(self, change, now):
+    def record_change(self, change, now):
         self._done = True
 
 
