--- a/packages/bulrushgrade/bulrushgrade/fleetmembers.py
+++ b/packages/bulrushgrade/bulrushgrade/fleetmembers.py
@@ -7,6 +7,8 @@
 
 @attrs.frozen(kw_only=True)
 class _MemberList:
+    """One part of the list that another daemon sends."""
+
     at: float
     number: int
     names: frozenset[str]
@@ -95,7 +97,12 @@
         return {key: one.number for key, one in self._lists.items()}
 
     def exclude(self, name: str, until: float) -> None:
-        """Ignores lists that name a daemon until a time or its next message."""
+        """Drops a daemon and ignores it in lists, until it sends a message.
+
+        Args:
+            name: The daemon's name.
+            until: The time from which on lists may name it again.
+        """
         self.drop(name)
         self._excluded[name] = until
 
