--- a/packages/bulrushgrade/tests/capacityscene.py
+++ b/packages/bulrushgrade/tests/capacityscene.py
@@ -1,4 +1,4 @@
-"""A fleet whose engines are ordered, for tests of how many there should be."""
+"""A simulated fleet whose engines are ordered, for tests of capacity plans."""
 
 from bulrushgrade import capacityplan
 
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """A fleet that carries orders out after a while, and its plan."""
+    """A fleet that carries out orders after a delay, with its plan."""
 
     def __init__(self, *, each=6, scaling=SCALING):
         self.now = 0.0
@@ -49,11 +49,11 @@
     def give(self, order):
         self.orders.append((self.now, order))
         pool = order.zone, order.is_spot
-        self.plan.take_record(order, self.now)
+        self.plan.apply_record(order, self.now)
         if order.is_spot and order.zone in self.refusing:
-            self.plan.note_refusal(order, self.now)
+            self.plan.record_refusal(order, self.now)
             return
-        self.plan.note_taken(order)
+        self.plan.record_acceptance(order)
         running = self.running.get(pool, 0)
         if order.count <= running:
             self.running[pool] = order.count
@@ -71,7 +71,7 @@
 
     @property
     def price(self):
-        """The price of what runs, in engines at the mean zone's full price."""
+        """The price of running engines, in engines at the mean full price."""
         scaling = self.scaling
         mean = sum(scaling.zone_prices.values()) / len(scaling.zone_prices)
         total = 0.0
