--- a/packages/bulrushgrade/tests/planscene.py
+++ b/packages/bulrushgrade/tests/planscene.py
@@ -1,4 +1,4 @@
-"""Engines and prompts that tests of the planner share."""
+"""Engines and prompts that the planner's tests share."""
 
 from test_directory import make
 
@@ -62,7 +62,7 @@
 
 
 def let_stream(planner, engine, *, count, pause_s=0.1, prompt_tokens=1_000):
-    """Has an engine generate streams whose events come at a pace."""
+    """Makes an engine generate streams with a given pause between events."""
     load = planner.fleet.load(engine, TRAITS)
     for _ in range(count):
         stream = streamload.Stream(prompt_tokens=prompt_tokens)
--- a/packages/bulrushgrade/tests/test_aggregatorchoice.py
+++ b/packages/bulrushgrade/tests/test_aggregatorchoice.py
@@ -1,4 +1,4 @@
-"""Tests of who adds up for a host."""
+"""Tests of the choice of the aggregator for a host."""
 
 from bulrushgrade import aggregatorchoice
 
@@ -18,7 +18,7 @@
 
 
 def test_silent_aggregator_is_replaced_by_the_next():
-    """The first host dies; the second adds up for itself and the third."""
+    """The first host dies; the second aggregates for itself and the third."""
     for host, expected in (("h2", None), ("h3", "h2")):
         choice = make(host)
         assert choice.drop_silent(0.5, 0.1) is None
--- a/packages/bulrushgrade/tests/test_balance.py
+++ b/packages/bulrushgrade/tests/test_balance.py
@@ -35,10 +35,10 @@
 
 
 def test_failing_endpoint_is_ejected_despite_its_health_report():
-    """An endpoint fails its requests while it reports that it is well.
+    """An endpoint fails its requests while it reports that it is healthy.
 
-    Each request sent there costs a caller its answer. Two failures in a row
-    take it out; it is tried again later, since it may have come back.
+    Each request sent there costs a caller its answer. Two consecutive failures
+    eject it; it is tried again later, since it may have recovered.
     """
     balancer = make_balancer()
     bad, good = make("bad"), make("good")
@@ -85,8 +85,8 @@
 def test_slow_endpoint_gets_less():
     """One endpoint takes five times as long as the others.
 
-    With equal shares every fourth caller would wait there. Its latency
-    counts as load, so that it gets a share that it can serve.
+    With equal shares every fourth caller would wait there. The latency counts
+    as load, so that the endpoint gets a share that it can serve.
     """
     balancer = make_balancer()
     slow, fast = make("slow"), make("fast")
@@ -111,7 +111,7 @@
 
 
 def test_zone_where_endpoints_crashed_is_avoided_where_there_is_another():
-    """A zone failed, and its requests were moved within it."""
+    """A zone failed, and its requests were retried within it."""
     balancer = make_balancer()
     here, there = make("here", zone="z1"), make("there", zone="z2")
 
@@ -121,7 +121,7 @@
 
     assert pick(here, there) == there
     assert pick(here) == here
-    # An endpoint that fails is no better than one in a zone that may.
+    # A failing endpoint is no better than one in a zone that may have failed.
     for _ in range(balance.EJECT_FAILURES):
         balancer.failed(there.incarnation, now=0.0)
     assert pick(here, there) == here
--- a/packages/bulrushgrade/tests/test_directory.py
+++ b/packages/bulrushgrade/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the view of endpoints."""
+"""Tests of the directory of endpoints."""
 
 import hypothesis
 from hypothesis import stateful
@@ -49,10 +49,10 @@
 
 
 def test_vanished_endpoint_gets_nothing_while_another_is_ready():
-    """An endpoint leaves without saying so; only its record goes away.
+    """An endpoint leaves without notice; only its record is removed.
 
-    It serves on for a while, so that a request sent there would be answered
-    now and cut a moment later. Its record's end has to count like a notice.
+    It keeps serving for a while, so a request sent there would begin to be
+    answered and then be cut off. The removal has to count like a notice.
     """
     found = make_directory(make("e1"), make("e2"))
     change = found.remove("e1", now=5.0)
@@ -61,10 +61,10 @@
 
 
 def test_endpoints_stay_usable_when_all_records_expired():
-    """The store was away and every record lapsed, while all endpoints live.
+    """The store had an outage and all records expired; the endpoints are alive.
 
-    A caller would be refused though nothing is wrong with any endpoint. They
-    stay usable until their records must be back, and no longer.
+    Callers would be refused although no endpoint has failed. The endpoints stay
+    usable until their records must have been restored, and no longer.
     """
     found = make_directory(make("e1"), make("e2"))
     found.remove("e1", now=5.0)
@@ -76,10 +76,10 @@
 
 
 def test_endpoint_stays_usable_when_its_record_expired():
-    """The store was away and the records of some endpoints lapsed.
+    """The store had an outage and the records of some endpoints expired.
 
-    They live and are back within seconds. Leaving them out until then puts
-    the load of all on the few whose records did not lapse.
+    They are alive and their records are restored within seconds. Leaving them
+    out until then would put all load on the few endpoints with a record.
     """
     found = make_directory(make("e1"), make("e2"))
     found.remove("e1", now=5.0, trusted_until=7.0)
@@ -96,8 +96,8 @@
 def test_late_copy_does_not_bring_an_endpoint_back():
     """An old record of an endpoint is written again after it has gone.
 
-    Requests would be sent to an address that nobody has, or somebody else.
-    The record's sequence shows that it is not news.
+    Requests would be sent to an address that is unused or belongs to another
+    process. The record's sequence number shows that it is outdated.
     """
     found = make_directory(make("e1", sequence=7))
     found.remove("e1", now=1.0)
@@ -114,10 +114,11 @@
 
 
 def test_restart_under_the_same_id_is_another_incarnation():
-    """An endpoint crashes and starts again under its id.
+    """An endpoint crashes and restarts under the same id.
 
-    Its counts start anew, so its records look older than those of its
-    former life. Without the start time it would never be used again.
+    Its sequence numbers start again, so its records look older than those of
+    the previous incarnation. Without the start time it would never be used
+    again.
     """
     found = make_directory(make("e1", born_ms=100, sequence=50))
     change = found.put(make("e1", born_ms=200, sequence=1), now=1.0)
@@ -155,7 +156,7 @@
 
 
 class DirectoryMachine(stateful.RuleBasedStateMachine):
-    """Records come late, twice and out of order; views must not go back."""
+    """Records arrive late, twice and out of order; views must not go back."""
 
     def __init__(self):
         super().__init__()
@@ -198,7 +199,7 @@
 
 
 def test_endpoint_with_announced_end_is_used_for_part_of_that_time():
-    """Guards against work that would be cut when a spot engine goes."""
+    """Guards against work that is cut off when a spot engine terminates."""
     found = make_directory(make("e1"))
     leaving = make("e1", sequence=2, state="draining", leaves_s=0.8)
     found.put(leaving, now=5.0)
@@ -218,7 +219,7 @@
 
 
 def test_incarnation_that_another_start_replaced_is_not_leaving():
-    """An engine that crashed and is back under its id counted as drained."""
+    """An engine that crashed and restarted under its id counted as drained."""
     known = make("e1", born_ms=1)
     found = make_directory(known, make("e1", born_ms=2, state="draining"))
     assert not found.is_leaving(known)
--- a/packages/bulrushgrade/tests/test_engineadmission.py
+++ b/packages/bulrushgrade/tests/test_engineadmission.py
@@ -1,4 +1,4 @@
-"""Tests of which prompts engines take first."""
+"""Tests of the urgency with which engines handle prompts."""
 
 import heapq
 
@@ -65,19 +65,21 @@
 def test_more_urgent_routes_keep_their_urgency():
     """Short prompts are late in a burst of long ones.
 
-    Behind all long prompts they were lost: their callers left before.
+    Behind all long prompts they were lost, because their callers gave up
+    before.
     """
     assert choose(5.0, priority=1) == 1
 
 
 def play_burst(urgency_of):
-    """Has one engine read a burst; returns how many begin in time.
+    """Simulates a burst at one engine; returns how many begin in time.
 
-    Twice as many prompts as it can read come for 3 s, then half as many for
-    6 s. It reads one after the other, the more urgent first.
+    For 3 s prompts arrive twice as fast as the engine can prefill them, then
+    for 6 s half as fast. It prefills them one after the other, the more urgent
+    first.
 
     Args:
-        urgency_of: Returns the urgency for a wait that is expected.
+        urgency_of: Returns the urgency for an expected wait.
     """
     arrivals = [0.05 * n for n in range(60)]
     arrivals += [3.0 + 0.2 * n for n in range(30)]
@@ -107,12 +109,12 @@
 
 
 def test_burst_is_served_in_time_up_to_capacity():
-    """Long prompts come twice as fast as they can be read, for 3 s.
+    """Long prompts arrive twice as fast as they can be prefilled, for 3 s.
 
-    In the order of arrival the queue grows beyond the target in the first
-    second, and all that come until it has emptied are late: 77 of 90. With
-    the late ones behind, the engine reads for those that can be in time: half
-    of the burst and all that come after it, but for a tenth at most.
+    In order of arrival the queue exceeds the target in the first second, and
+    all prompts that arrive until it has emptied are late: 77 of 90. If the late
+    ones go last, the engine serves the prompts that can be in time: half of the
+    burst and all prompts after it, with a tolerance of a tenth.
     """
     can_be_in_time = 30 + 30
     assert play_burst(lambda wait_s: 2) < can_be_in_time / 2
--- a/packages/bulrushgrade/tests/test_engineload.py
+++ b/packages/bulrushgrade/tests/test_engineload.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon believes of an engine."""
+"""Tests of the load estimate of an engine."""
 
 from bulrushgrade import directory
 from bulrushgrade import enginecache
@@ -35,7 +35,7 @@
 
 
 def run_prefill(load, prompt):
-    """Has an engine read a prompt."""
+    """Makes an engine prefill a prompt."""
     sent = make_prefill(prompt=prompt)
     load.begin(sent)
     load.answered(sent, PREFILL, 0.1)
@@ -49,9 +49,10 @@
 
 
 def test_parts_in_prefill_are_expected_for_later_prompts():
-    # Two prompts with one long part come within the time of reading it. The
-    # second was sent to another engine and the part read twice, or had it
-    # fetched from where it was not yet. Behind the first it costs nothing.
+    # Two prompts with the same long part arrive within the time of its prefill.
+    # The second one was sent to another engine, which prefilled the part again
+    # or fetched it from an engine that did not have it yet. Behind the first
+    # prompt it costs nothing.
     load, prompt = make_load(), make_prompt("s1")
     sent = make_prefill(prompt=prompt)
     load.begin(sent)
@@ -97,10 +98,10 @@
 
 
 def test_wait_at_silent_engine_grows():
-    """An engine hangs: it takes requests and answers none.
+    """An engine hangs: it accepts requests and answers none.
 
-    By its queue it would look idle to every daemon that sent it little. The
-    age of the oldest unanswered request grows without any message.
+    By its queue it would look idle to each daemon that sent it few requests.
+    The age of the oldest unanswered request grows without any message.
     """
     load = make_load()
     load.begin(make_prefill(expected_s=0.1, sent_at=0.0))
@@ -118,7 +119,7 @@
 
 
 def speed(load, stage=PREFILL):
-    """Returns the tokens that an engine is believed to read in a second."""
+    """Returns the estimated prefill speed in tokens per second."""
     return 4_000 / load.prefill_s(4_000, 0, stage)
 
 
@@ -136,10 +137,10 @@
 
 
 def test_latency_is_not_counted_as_slow_prefill():
-    """Answers begin 60 ms after a prompt was read, however short it is.
+    """Responses begin 60 ms after the prefill, however short the prompt is.
 
-    Engines that read 140 tokens in a millisecond looked as if they read 35;
-    prompts were refused for queues that were not there.
+    Engines that prefill 140 tokens per millisecond were estimated at 35, and
+    prompts were refused because of queues that did not exist.
     """
     load = make_load()
     for number in range(40):
@@ -155,13 +156,13 @@
 
 
 def prefill_new_parts(load, *, shared_tokens, own_tokens, prefill_in_s):
-    """Has an engine read prompts with a new shared part each.
+    """Makes an engine prefill prompts with a new shared part each.
 
     Args:
-        load: The engine's.
-        shared_tokens: Of the shared part.
-        own_tokens: Of the rest.
-        prefill_in_s: Seconds that reading takes.
+        load: The load estimate of the engine.
+        shared_tokens: Tokens of the shared part.
+        own_tokens: Tokens of the prompt's own part.
+        prefill_in_s: Duration of each prefill.
     """
     for number in range(40):
         prompt = make_prompt(f"s{number}", shared_tokens, own_tokens)
@@ -178,13 +179,13 @@
 
 
 def test_speed_is_learned_from_prompts_that_may_be_cached():
-    """Hundreds of shared parts pass through; few prompts find theirs cached.
+    """Hundreds of shared parts are in use; few prompts find theirs cached.
 
-    Engines read 140 tokens in a millisecond and were believed to read 40, the
-    figure of the start: a prompt that was read faster than expected was taken
-    for one whose shared part the engine had. Prompts were refused, and sent
-    away from engines, for queues a third as long as believed. What is its own
-    a prompt always has read, whatever the engine has of the rest.
+    Engines that prefill 140 tokens per millisecond were estimated at 40, the
+    initial value, because a prompt whose prefill was faster than expected was
+    assumed to have its shared part cached. Prompts were refused and diverted
+    because of queues that were a third as long as estimated. A prompt's own
+    part is always prefilled, whatever the engine has cached of the rest.
     """
     load = make_load()
     prefill_new_parts(
@@ -194,10 +195,10 @@
 
 
 def test_cached_parts_are_not_counted_as_speed():
-    """An engine had a long part that nobody here knew of.
+    """An engine has a long part cached that the daemon doesn't know of.
 
-    Reading 13,000 tokens seemed to take the time of 3,000. Were it believed
-    four times as fast, its queue would be filled with four times the work.
+    The prefill of 13,000 tokens seems to take the time of 3,000. If the engine
+    were estimated to be four times as fast, it would get four times the work.
     """
     load = make_load()
     prefill_new_parts(
@@ -212,8 +213,8 @@
 def test_waits_do_not_change_the_speed():
     """A burst keeps an engine's queue full for seconds.
 
-    Readings in it last many times their own time. Were the engine believed
-    to be that slow, it would go on refusing after the burst.
+    Prefills then take many times their own duration. If the engine were
+    estimated to be that slow, requests would still be refused after the burst.
     """
     load = make_load()
     before = speed(load)
--- a/packages/bulrushgrade/tests/test_engineplan.py
+++ b/packages/bulrushgrade/tests/test_engineplan.py
@@ -1,4 +1,4 @@
-"""Tests of where prompts are read and answers are generated."""
+"""Tests of where prompts are prefilled and answers are generated."""
 
 import collections
 
@@ -43,10 +43,10 @@
 
 
 def test_removed_engine_moves_only_its_own_parts():
-    """An engine is lost while long prompts keep coming.
+    """An engine is lost while long prompts keep arriving.
 
-    If the found of all parts moved, every engine would read everything again
-    at the moment when one of them is missing.
+    If the preferred engines of all parts changed, every engine would prefill
+    every part again just when one engine is missing.
     """
     left = ENGINES[1:]
     for number in range(200):
@@ -71,11 +71,11 @@
 
 
 def test_short_prompts_are_handed_over_when_decoders_are_busy():
-    """Short prompts come at a rate that fills the few engines that generate.
+    """Short prompts arrive at a rate that fills the few decoders.
 
-    Each holds its streams up for ten milliseconds; a hundred a second would
-    hold them up all the time, while the engines that read have room. Where
-    the engines that generate have room, the handover would only add to it.
+    Each of them stalls the streams for ten milliseconds. A hundred per second
+    would stall them all the time although the prefill engines have capacity.
+    While the decoders have capacity, a handover would only add latency.
     """
     planner = make_planner()
     short = make_prompt("s1", shared_tokens=90, own_tokens=290)
@@ -91,11 +91,11 @@
 
 
 def test_long_queue_at_preferred_engine_diverts_prompt():
-    """Bursts of long prompts hit the preferred of a popular part.
+    """Bursts of long prompts arrive at the preferred engine of a popular part.
 
-    Waiting behind seconds of work there is worse for the caller than having
-    the part fetched by another engine, which takes some ten milliseconds
-    where reading it again would take hundreds; a short queue is not.
+    Waiting behind seconds of work is worse for the caller than having another
+    engine fetch the part, which takes about ten milliseconds where prefilling
+    it again would take hundreds. A short queue is no reason to divert.
     """
     prompt = make_prompt("s1")
     preferred = find_preferred(prompt, ENGINES)
@@ -125,10 +125,10 @@
 
 
 def test_decoder_of_a_part_is_stable():
-    """What is handed over stays in the receiver's memory.
+    """What is handed over stays in the decoder's memory.
 
-    Spread over all generating engines, each part would lie on all of them
-    and push out those that are at preferred there.
+    Distributed over all decoders, each part would be cached on all of them and
+    evict the parts that have their preferred engine there.
     """
     decoders = collections.defaultdict(set)
     for number in range(40):
@@ -141,11 +141,11 @@
 
 
 def test_decoder_that_left_during_prefill_is_replaced():
-    """An engine reads a prompt for two seconds; its receiver leaves meanwhile.
+    """A decoder leaves during the two seconds of a prompt's prefill.
 
-    A request that is then sent to the receiver is new work at an engine that
-    was told, and promised, to get none. The receiver has to be chosen anew
-    among those that are there when the prompt has been read.
+    Sending the request to it would be new work at an engine that was told to
+    get none. The decoder has to be chosen again among the engines that are
+    present after the prefill.
     """
     planner = make_planner()
     prompt = make_prompt("s1")
@@ -158,9 +158,9 @@
 
 
 def test_daemons_with_the_same_stale_view_pick_different_engines():
-    """Many daemons have heard that one engine of twelve is idle.
+    """Many daemons have heard that one of twelve engines is idle.
 
-    Until they hear again, all of them would send it all that comes.
+    Until the next messages all of them would send every prompt to it.
     """
     engines = [make(f"p{n}", stage=PREFILL) for n in range(12)]
     engines += [make(f"d{n}", stage=DECODE) for n in range(4)]
@@ -188,10 +188,10 @@
 
 
 def test_busy_decoder_is_last_choice_for_long_prefill():
-    """Long prompts queue for a second at the engines that only read.
+    """Long prompts queue for a second at the prefill engines.
 
-    Reading one at an engine that generates would begin at once, but each of
-    its streams would stand still meanwhile and be late as a whole.
+    A prefill at a decoder would begin at once, but stall each of its streams
+    and make them late.
     """
     planner = make_planner()
     for engine in ENGINES[2:]:
@@ -205,9 +205,9 @@
 
 
 def test_idle_decoder_prefills_what_would_queue():
-    """Nothing is generated yet, and prompts queue at the engines that read.
+    """Prompts queue at the prefill engines, and no streams are running.
 
-    A prompt of any length holds up nobody at an engine without streams.
+    At a decoder without streams, a prompt of any length delays nobody.
     """
     planner = make_planner()
     for engine in ENGINES[:2]:
@@ -219,10 +219,10 @@
 
 
 def test_stalled_streams_do_not_make_local_prefill_free():
-    """A long prompt is read beside streams, which stand still meanwhile.
+    """A long prefill stalls the streams of a decoder.
 
-    Those streams are late by then. Were further prompts read there for free,
-    all that begins at that engine would stand still for seconds.
+    Those streams are late already. If further prefills there cost nothing, all
+    streams that begin at that engine would stall for seconds.
     """
     planner = make_planner()
     for engine in ENGINES[2:]:
@@ -240,10 +240,10 @@
 
 
 def test_decoder_has_memory_for_the_whole_stream():
-    """One engine's memory is nearly full of long streams, others' are not.
+    """One decoder's memory is nearly full of long streams, others have space.
 
-    Its queue is as short as theirs. A stream more would have another one
-    preempted, which stands still until it has been read again.
+    Their queues are equally short. One more stream would cause a preemption,
+    and the preempted stream stalls until it has been prefilled again.
     """
     prompt = make_prompt("s1")
     planner = make_planner()
@@ -256,9 +256,9 @@
 
 
 def test_choice_of_decoder_counts_streams_of_peers():
-    """Every host has a few streams at an engine, all of them together many.
+    """Each host has a few streams at an engine, and all hosts together many.
 
-    By its own alone each host would go on sending there.
+    By its own streams alone, each host would keep sending there.
     """
     peers = peerloads.PeerLoads()
     planner = make_planner(peers)
@@ -271,9 +271,9 @@
 
 
 def test_engine_with_slow_events_gets_fewer_streams():
-    """One of three engines turned slow; its queue and memory look like others'.
+    """One of three engines became slow; its queue and memory look normal.
 
-    Its streams' events come four times as slowly.
+    The events of its streams come four times as slowly.
     """
     planner = make_planner()
     prompt = make_prompt("s1")
--- a/packages/bulrushgrade/tests/test_engineplan_load.py
+++ b/packages/bulrushgrade/tests/test_engineplan_load.py
@@ -1,4 +1,4 @@
-"""Tests of where prompts go under load, and which are refused."""
+"""Tests of placement and refusals under load."""
 
 import heapq
 
@@ -19,9 +19,9 @@
 def test_large_prompts_are_not_refused_more_often():
     """Prompts of all sizes arrive in a burst; one in ten is far larger.
 
-    With queues as long as the callers' patience, a large prompt never begins
-    in time behind the small ones. With one shorter limit for all it is
-    refused as often as they are, and has no time left when it comes back.
+    With queues as long as the callers' patience, a large prompt behind small
+    ones never begins in time. With one shorter limit for all sizes it is
+    refused as often as they are, and has no time left when it is retried.
     """
     planner = make_planner()
     small, large = make_prompt("s1"), make_prompt("s1", own_tokens=35_000)
@@ -48,11 +48,11 @@
 
 
 def test_burst_is_refused_in_part_and_the_rest_served():
-    """Twice as many long prompts arrive as the engines can read, for 20 s.
+    """Twice as many long prompts arrive for 20 s as the engines can prefill.
 
-    Were all taken, every queue would grow beyond the callers' patience and
-    nearly all would be read for nothing. With refusals on arrival, what is
-    taken begins in time and the engines stay busy with it.
+    If all were accepted, every queue would exceed the callers' patience, and
+    nearly all prefills would be wasted. With refusals on arrival, accepted
+    prompts begin in time and keep the engines busy.
     """
     planner = make_planner()
     for engine in ENGINES[2:]:
@@ -93,9 +93,10 @@
 
 
 def test_next_prompt_goes_where_its_part_is_being_prefilled():
-    # Two prompts with one long part come within the time of reading it. The
-    # second had the part read once more, at an idle engine. Behind the first
-    # it waits for what is left and reads its own part only.
+    # Two prompts with the same long part arrive within the time of its prefill.
+    # The second one used to be sent to an idle engine, which prefilled the part
+    # again. Behind the first it waits for the rest of that prefill and only
+    # prefills its own part.
     planner = make_planner()
     prompt = make_prompt("s1", shared_tokens=16_000)
     first = make_plan(prompt, planner=planner)
@@ -116,7 +117,7 @@
 
 
 def test_reported_waits_take_precedence_over_advertised_load():
-    # By what peers advertised a moment ago the preferred engine is idle; the
+    # By the loads that peers advertised the preferred engine is idle, but the
     # owner of its queue knows of five prompts that were sent there since.
     prompt = make_prompt("s1")
     preferred = find_preferred(prompt, ENGINES)
@@ -127,9 +128,9 @@
 
 
 def test_prefills_longer_than_expected_lead_to_earlier_refusals():
-    # More comes than the engines' memories hold, so that parts are read again
-    # that were expected to be there. Prompts were let in for a wait of a
-    # second, waited for two, and were cut at their deadline.
+    # More prompts arrive than fit into the engines' memories, so parts that
+    # were expected to be cached are prefilled again. Prompts were admitted with
+    # an expected wait of one second, waited for two, and missed their deadline.
     planner = make_planner()
     prompt = make_prompt("s1")
     reported_wait_s = {"p1": 1.0, "p2": 1.0, "d1": 1.0, "d2": 1.0, "d3": 1.0}
@@ -150,8 +151,8 @@
 
 
 def test_without_engines_there_are_no_candidates():
-    # A host has just started: it knows the routes and no endpoint yet. The
-    # first long prompt ended the process, and with it every other request.
+    # A host that has just started knows the routes but no endpoints yet. The
+    # first long prompt terminated the process and with it every other request.
     planner = make_planner()
     prompt = make_prompt("s1")
     assert planner.prefill_candidates(make_input(prompt, [])) == []
--- a/packages/bulrushgrade/tests/test_enginequeue.py
+++ b/packages/bulrushgrade/tests/test_enginequeue.py
@@ -1,4 +1,4 @@
-"""Tests of what waits at engines."""
+"""Tests of the queues of engines."""
 
 from bulrushgrade import enginequeue
 from bulrushgrade import prefillqueue
@@ -30,8 +30,8 @@
 
 
 def test_entry_without_end_expires():
-    # A daemon dies while its prompt is read, or its datagram is lost. The
-    # engine would look busy for ever, and nothing would be sent to it.
+    # A daemon dies during the prefill of its prompt, or its datagram is lost.
+    # The engine would look busy forever and get no more requests.
     queues = enginequeue.EngineQueues()
     queues.begin("e", ("h1", 1), entry(9.0, 0.0))
     queues.begin("e", ("h2", 1), entry(0.3, 8.0))
@@ -51,9 +51,10 @@
 
 
 def test_sixty_daemons_with_fresh_queues_fill_idle_engines():
-    # Prompts come evenly, at four fifths of what 20 engines can read. With
-    # queues that are 0.6 s old each daemon takes the same engines for idle,
-    # and prompts wait for more than one other; with fresh ones hardly any.
+    # Prompts arrive evenly at four fifths of the capacity of 20 engines. With
+    # queues that are 0.6 s old each daemon considers the same engines idle, and
+    # prompts wait longer than one other takes. With current queues they hardly
+    # wait.
     engines = [f"e{number}" for number in range(20)]
 
     def mean_wait_s(age_s):
--- a/packages/bulrushgrade/tests/test_enginerank.py
+++ b/packages/bulrushgrade/tests/test_enginerank.py
@@ -23,11 +23,11 @@
 
 
 def test_prompts_with_a_short_common_prefix_are_spread_over_all_engines():
-    """Long prompts begin with one of three short parts, then a long one.
+    """Long prompts begin with one of three short parts, followed by a long one.
 
-    Callers see their streams stand still: ranked by the short part, all of
-    them have three engines in common, whose memories overflow while others
-    stay half empty.
+    Ranked by the short part, all of them would share three engines, whose
+    memories overflow while others stay half empty, and callers' streams would
+    stall.
     """
     first = collections.Counter()
     for number in range(600):
--- a/packages/bulrushgrade/tests/test_linearfit.py
+++ b/packages/bulrushgrade/tests/test_linearfit.py
@@ -1,4 +1,4 @@
-"""Tests of lines through observations and of engines' factors."""
+"""Tests of linear fits and of engines' factors."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/packages/bulrushgrade/tests/test_pausemodel.py
+++ b/packages/bulrushgrade/tests/test_pausemodel.py
@@ -1,4 +1,4 @@
-"""Tests of the pause between events."""
+"""Tests of the pause model."""
 
 from bulrushgrade import pausemodel
 
@@ -20,9 +20,9 @@
 
 
 def test_a_slow_engine_has_a_factor_and_leaves_the_others_alone():
-    """One engine of many turned four times as slow.
+    """One engine of many became four times as slow.
 
-    Were its pauses taken for the fleet's, every engine would look full.
+    If its pauses counted for all engines, every engine would look full.
     """
     model, slow = pausemodel.PauseModel(), pausemodel.new_factor()
     observe_many(model)
--- a/packages/bulrushgrade/tests/test_peerloads.py
+++ b/packages/bulrushgrade/tests/test_peerloads.py
@@ -1,4 +1,4 @@
-"""Tests of what peers have at engines."""
+"""Tests of the loads of peers at engines."""
 
 from bulrushgrade import peerloads
 
@@ -29,9 +29,9 @@
 
 
 def test_silent_peer_counts_for_nothing():
-    """A daemon is killed with work that its peers know of.
+    """A daemon is killed while its peers know of requests that it has sent.
 
-    Its endpoints would look busy for ever to those that are left.
+    Otherwise the remaining daemons would consider the engines busy forever.
     """
     found = peerloads.PeerLoads()
     found.update_group("a", 1, {"e1": share(0.5)}, 0.0)
@@ -50,9 +50,10 @@
 
 
 def test_own_share_is_subtracted_from_the_fleet_sum():
-    """What this daemon has is in the sum of all that it is told.
+    """The fleet sum that a daemon receives includes its own load.
 
-    Counted once more, an engine would look busy with its own request.
+    If it were counted twice, an engine would look busy with the daemon's own
+    request.
     """
     found = peerloads.PeerLoads()
     found.record_own(7, {"e1": share(0.5, 1, 100)})
@@ -64,7 +65,7 @@
 
 
 def test_daemon_is_counted_in_one_sum_only():
-    """It told everybody itself before another one added up for it."""
+    """A daemon is known as a group of its own before it joins another group."""
     found = peerloads.PeerLoads()
     found.update_group("a", 1, {"e1": share(0.5)}, 0.0)
     found.update_member("a", 2, {"e1": share(0.5)}, 0.1)
@@ -74,9 +75,9 @@
 
 
 def test_wait_excludes_less_urgent_work():
-    """Many long prompts wait, and short ones go first.
+    """Many long prompts are queued, and short prompts go before them.
 
-    By all that waits, a short prompt would be refused that is read at once.
+    By the whole queue, a short prompt would be refused that can start at once.
     """
     found = peerloads.PeerLoads()
     for name in ("a", "b"):
--- a/packages/bulrushgrade/tests/test_plancost.py
+++ b/packages/bulrushgrade/tests/test_plancost.py
@@ -1,4 +1,4 @@
-"""Tests of what placing a prompt costs."""
+"""Tests of the cost of placing a prompt."""
 
 import attrs
 from hypothesis import given
@@ -59,8 +59,8 @@
 def test_streams_beyond_the_slots_wait_for_one():
     """A burst of short prompts with long answers fills all slots.
 
-    130 streams were sent to engines with 48 slots each; none of the queues
-    of readings showed it, and first events came half a second late.
+    130 streams were sent to engines with 48 slots each. The prefill queues did
+    not show them, and first events were half a second late.
     """
     assert plancost.slot_wait_s(LOAD) == 0.0
     full = attrs.evolve(LOAD, streams=47)
@@ -73,7 +73,7 @@
     assert plancost.crowding(LOAD, 0.0, 0.2) == 20 / 48
     slow = attrs.evolve(LOAD, pause_s=0.18)
     assert abs(plancost.crowding(slow, 0.0, 0.2) - 0.9) < 1e-9
-    # An empty engine has a pause as well, which leaves all of its room.
+    # An empty engine has a pause as well, which does not reduce its capacity.
     base = attrs.evolve(slow, pause_s=0.1, min_pause_s=0.1, streams=1)
     assert plancost.crowding(base, 0.0, 0.2) < 0.3
     assert abs(plancost.crowding(base, 0.05, 0.2) - 0.5) < 1e-9
--- a/packages/bulrushgrade/tests/test_prefilldelay.py
+++ b/packages/bulrushgrade/tests/test_prefilldelay.py
@@ -1,4 +1,4 @@
-"""Tests of how much longer readings take than expected."""
+"""Tests of the excess of prefill times over the expected ones."""
 
 from bulrushgrade import prefilldelay
 
@@ -29,10 +29,10 @@
 
 
 def test_delay_does_not_scale_with_queue_length():
-    """Short readings meet 50 ms of work that nobody here knows of.
+    """Short prefills meet 50 ms of work that this daemon doesn't know of.
 
-    As a ratio that would turn a known queue of half a second into one of two
-    seconds, and refuse prompts that are answered in time.
+    As a ratio, the delay would turn a known queue of half a second into one of
+    two seconds, and prompts would be refused that are answered in time.
     """
     delay = prefilldelay.PrefillDelay()
     for number in range(30):
--- a/packages/bulrushgrade/tests/test_prefillqueue.py
+++ b/packages/bulrushgrade/tests/test_prefillqueue.py
@@ -1,4 +1,4 @@
-"""Tests of what waits at one engine."""
+"""Tests of the queue of one engine."""
 
 from bulrushgrade import prefillqueue
 
@@ -34,10 +34,10 @@
 
 
 def test_prefilled_prompts_do_not_count_as_queued():
-    """Answers begin 60 ms after prompts of 20 ms were read.
+    """Responses begin 60 ms after prefills of 20 ms.
 
-    Three of them are on their way at any time. An engine that was idle for
-    half of the time looked as if it had a queue of 60 ms.
+    Three of them are on their way at any time. An engine that was idle for half
+    of the time appeared to have a queue of 60 ms.
     """
     queue = make_queue(0.02, 0.02, 0.02, latency_s=0.06)
     assert wait_s(queue, 0.01) == 0.05
@@ -64,10 +64,10 @@
 
 
 def test_urgent_prompt_waits_only_for_the_current_prefill():
-    """Long prompts wait in a row, and a short, more urgent one comes.
+    """Long prompts are queued, and a short, more urgent one arrives.
 
-    It was refused for the whole queue, while the engine reads it as soon as
-    the long prompt at hand is done.
+    It was refused because of the whole queue, although the engine prefills it
+    as soon as the current prefill has ended.
     """
     queue = prefillqueue.PrefillQueue()
     for number in range(4):
@@ -82,10 +82,11 @@
 
 
 def test_next_prefill_begins_before_the_last_answer():
-    """Long prompts wait in a row; the first is read, its answer on the way.
+    """Long prompts are queued; the first response is on its way.
 
-    The engine has begun the second. An urgent prompt was sent there as if it
-    were read at once, and waited 0.14 s in the mean: its target is 0.25 s.
+    The engine has begun the second prefill. An urgent prompt was sent there as
+    if it could start at once, and waited 0.14 s on average; its target is 0.25
+    s.
     """
     queue = prefillqueue.PrefillQueue()
     for number in range(3):
--- a/packages/bulrushgrade/tests/test_prefixindex.py
+++ b/packages/bulrushgrade/tests/test_prefixindex.py
@@ -1,4 +1,4 @@
-"""Tests of who was lately sent a part."""
+"""Tests of the index of engines that were recently sent a part."""
 
 import attrs
 
@@ -27,8 +27,8 @@
 
 
 def test_part_that_was_not_prefilled_is_removed():
-    # The engine refused the prompt or died. Others would wait for a part
-    # that never comes.
+    # The engine refused the prompt or died. Other requests would wait for a
+    # part that never becomes available.
     index = prefixindex.PrefixIndex()
     index.update(COMING, 0.0)
     index.update(GONE, 0.2)
@@ -50,8 +50,9 @@
 def test_prompts_with_a_short_common_prefix_have_separate_entries():
     """A third of all long prompts begin with the same few hundred tokens.
 
-    Under those, each prompt that was sent to an engine took the place of the
-    one before it, so that only the last of many was found while it was read.
+    Indexed by those, each prompt that was sent to an engine replaced the entry
+    of the one before, so that only the last of many was found during its
+    prefill.
     """
     begin = prompt_module.PromptPart(id="begin", tokens=512)
     index = prefixindex.PrefixIndex()
