--- a/packages/bulrushgrade/bulrushgrade/directory.py
+++ b/packages/bulrushgrade/bulrushgrade/directory.py
@@ -161,7 +161,7 @@
         if entry is None:
             entry = _Entry(known=found)
             self._entries[found.id] = entry
-            self._note_state(entry, now)
+            self._update_leaving(entry, now)
             return Change(id=found.id, previous=None, current=found)
         if found.order < entry.known.order:
             return None
@@ -177,7 +177,7 @@
         entry.gone = False
         if is_new_incarnation or found.state is EndpointState.READY:
             entry.leaving_since = None
-        self._note_state(entry, now)
+        self._update_leaving(entry, now)
         if (
             previous is not None
             and attrs.evolve(
@@ -263,7 +263,7 @@
             return self._leaving_use_s
         return min(self._leaving_use_s, LEAVING_USE_FRACTION * leaves_s)
 
-    def _note_state(self, entry: _Entry, now: float) -> None:
+    def _update_leaving(self, entry: _Entry, now: float) -> None:
         draining = entry.known.state is EndpointState.DRAINING
         if draining and entry.leaving_since is None:
             entry.leaving_since = now
--- a/packages/bulrushgrade/bulrushgrade/engineplan.py
+++ b/packages/bulrushgrade/bulrushgrade/engineplan.py
@@ -307,15 +307,15 @@
             holder_tokens = self._fleet.load(
                 holder, traits
             ).cache.cached_tokens(prompt)
-            moved_s = FETCH_LATENCY_FRACTION * handover_s
-            moved_s += _transfer_s(
+            holder_fetch_s = FETCH_LATENCY_FRACTION * handover_s
+            holder_fetch_s += _transfer_s(
                 holder_tokens - cached, holder, prefiller, traits
             )
             if (
                 load.prefill_s(holder_tokens - cached, cached, prefiller.stage)
-                > moved_s
+                > holder_fetch_s
             ):
-                fetch_from, fetch_s = holder, moved_s
+                fetch_from, fetch_s = holder, holder_fetch_s
                 transfer_s += fetch_s
                 cached = holder_tokens
         tokens = max(1, prompt.prompt_tokens - cached)
@@ -379,7 +379,7 @@
     destination: directory.Registration,
     traits: routing.EngineTraits,
 ) -> float:
-    moved_s = tokens * traits.token_bytes / max(traits.link_bytes_per_s, 1.0)
+    seconds = tokens * traits.token_bytes / max(traits.link_bytes_per_s, 1.0)
     if source.zone != destination.zone:
-        moved_s *= OTHER_ZONE_TRANSFER_FACTOR
-    return moved_s
+        seconds *= OTHER_ZONE_TRANSFER_FACTOR
+    return seconds
--- a/packages/bulrushgrade/bulrushgrade/prefillqueue.py
+++ b/packages/bulrushgrade/bulrushgrade/prefillqueue.py
@@ -58,8 +58,10 @@
             key=lambda other: _queue_position(self._entries[other]),
         )
         added_at = self._entries[self._current].added_at
-        read_at = now - ended.latency_s
-        self._current_began_at = max(read_at, added_at, self._current_began_at)
+        prefilled_at = now - ended.latency_s
+        self._current_began_at = max(
+            prefilled_at, added_at, self._current_began_at
+        )
 
     def remove_older(self, now: float, *, max_age_s: float) -> None:
         """Removes prompts that were sent at least max_age_s ago."""
--- a/packages/bulrushgrade/bulrushgrade/streamload.py
+++ b/packages/bulrushgrade/bulrushgrade/streamload.py
@@ -48,7 +48,7 @@
         self._streams.add(stream)
         self._tokens += stream.prompt_tokens
 
-    def note_events(
+    def record_events(
         self, stream: Stream, count: int, *, event_tokens: int, now: float
     ) -> float | None:
         """Records events of a stream that came together.
--- a/packages/bulrushgrade/tests/planscene.py
+++ b/packages/bulrushgrade/tests/planscene.py
@@ -61,7 +61,7 @@
     return planner.plan(request, allow_handover=allow_handover)
 
 
-def let_stream(planner, engine, *, count, pause_s=0.1, prompt_tokens=1_000):
+def add_streams(planner, engine, *, count, pause_s=0.1, prompt_tokens=1_000):
     """Makes an engine generate streams with a given pause between events."""
     load = planner.fleet.load(engine, TRAITS)
     for _ in range(count):
--- a/packages/bulrushgrade/tests/test_aggregatorchoice.py
+++ b/packages/bulrushgrade/tests/test_aggregatorchoice.py
@@ -40,7 +40,7 @@
     assert choice.drop_silent(1.4, 0.1) == "h1"
 
 
-def test_long_periods_leave_more_time():
+def test_long_periods_allow_longer_silence():
     assert make("h3").drop_silent(3.0, 4.0) is None
 
 
--- a/packages/bulrushgrade/tests/test_directory.py
+++ b/packages/bulrushgrade/tests/test_directory.py
@@ -87,7 +87,7 @@
     assert ids(found, 7.0) == ["e2"]
 
 
-def test_draining_endpoint_is_not_trusted_when_its_record_lapses():
+def test_draining_endpoint_is_not_trusted_when_its_record_expires():
     found = make_directory(make("e1", state="draining"), make("e2"))
     found.remove("e1", now=5.0, trusted_until=7.0)
     assert ids(found, 5.1) == ["e2"]
--- a/packages/bulrushgrade/tests/test_engineadmission.py
+++ b/packages/bulrushgrade/tests/test_engineadmission.py
@@ -9,7 +9,7 @@
 from bulrushgrade import prefillqueue
 from bulrushgrade import routing
 
-READ_S = 0.1
+PREFILL_S = 0.1
 TARGET_S = 0.5
 
 
@@ -38,12 +38,12 @@
         relative_size=1.0,
         wait_s=wait_s,
         read_tokens=10_000,
-        prefill_s=READ_S,
-        busy_s=READ_S,
+        prefill_s=PREFILL_S,
+        busy_s=PREFILL_S,
         transfer_s=0.0,
         latency_s=0.0,
         handover_s=0.0,
-        first_event_s=wait_s + READ_S,
+        first_event_s=wait_s + PREFILL_S,
     )
 
 
@@ -71,7 +71,7 @@
     assert choose(5.0, priority=1) == 1
 
 
-def play_burst(urgency_of):
+def simulate_burst(urgency_of):
     """Simulates a burst at one engine; returns how many begin in time.
 
     For 3 s prompts arrive twice as fast as the engine can prefill them, then
@@ -85,26 +85,26 @@
     arrivals += [3.0 + 0.2 * n for n in range(30)]
     queue, waiting, free_at, in_time = prefillqueue.PrefillQueue(), [], 0.0, 0
 
-    def read_until(now):
+    def prefill_until(now):
         nonlocal free_at, in_time
         while waiting and max(free_at, waiting[0][1]) < now:
-            _, came_at = heapq.heappop(waiting)
-            free_at = max(free_at, came_at) + READ_S
-            in_time += free_at - came_at <= TARGET_S
-            queue.remove(came_at, free_at)
+            _, arrived_at = heapq.heappop(waiting)
+            free_at = max(free_at, arrived_at) + PREFILL_S
+            in_time += free_at - arrived_at <= TARGET_S
+            queue.remove(arrived_at, free_at)
 
     for now in arrivals:
-        read_until(now)
+        prefill_until(now)
         wait_s = queue.wait_s(now, urgency=2)
         entry = prefillqueue.Entry(
-            seconds=READ_S,
+            seconds=PREFILL_S,
             latency_s=0.0,
             urgency=urgency_of(wait_s),
             added_at=now,
         )
         queue.add(now, entry)
         heapq.heappush(waiting, (entry.urgency, now))
-    read_until(1e9)
+    prefill_until(1e9)
     return in_time
 
 
@@ -117,5 +117,5 @@
     burst and all prompts after it, with a tolerance of a tenth.
     """
     can_be_in_time = 30 + 30
-    assert play_burst(lambda wait_s: 2) < can_be_in_time / 2
-    assert play_burst(choose) >= 0.9 * can_be_in_time
+    assert simulate_burst(lambda wait_s: 2) < can_be_in_time / 2
+    assert simulate_burst(choose) >= 0.9 * can_be_in_time
--- a/packages/bulrushgrade/tests/test_engineplan.py
+++ b/packages/bulrushgrade/tests/test_engineplan.py
@@ -6,8 +6,8 @@
 from planscene import ENGINES
 from planscene import PREFILL
 from planscene import TRAITS
+from planscene import add_streams
 from planscene import find_preferred
-from planscene import let_stream
 from planscene import make_input
 from planscene import make_plan
 from planscene import make_planner
@@ -80,7 +80,7 @@
     planner = make_planner()
     short = make_prompt("s1", shared_tokens=90, own_tokens=290)
     for engine in ENGINES[2:]:
-        let_stream(planner, engine, count=10)
+        add_streams(planner, engine, count=10)
     assert make_plan(short, planner=planner).prefill is None
     for engine in ENGINES[2:]:
         queued = engineload.PendingPrefill(
@@ -195,7 +195,7 @@
     """
     planner = make_planner()
     for engine in ENGINES[2:]:
-        let_stream(planner, engine, count=10)
+        add_streams(planner, engine, count=10)
     for engine in ENGINES[:2]:
         queued = engineload.PendingPrefill(
             expected_s=1.0, sent_at=0.0, tokens=0
@@ -226,7 +226,7 @@
     """
     planner = make_planner()
     for engine in ENGINES[2:]:
-        let_stream(planner, engine, count=20)
+        add_streams(planner, engine, count=20)
         queued = engineload.PendingPrefill(
             expected_s=0.6, sent_at=0.0, tokens=0
         )
@@ -248,10 +248,10 @@
     prompt = make_prompt("s1")
     planner = make_planner()
     full = planner.choose_decoder(make_input(prompt))
-    let_stream(planner, full, count=30, prompt_tokens=15_000)
+    add_streams(planner, full, count=30, prompt_tokens=15_000)
     others = [e for e in ENGINES[2:] if e is not full]
     for engine in others:
-        let_stream(planner, engine, count=60, prompt_tokens=1_000)
+        add_streams(planner, engine, count=60, prompt_tokens=1_000)
     assert planner.choose_decoder(make_input(prompt)) in others
 
 
@@ -280,5 +280,5 @@
     slow = planner.choose_decoder(make_input(prompt))
     for engine in ENGINES[2:]:
         pause_s = 0.32 if engine is slow else 0.08
-        let_stream(planner, engine, count=10, pause_s=pause_s)
+        add_streams(planner, engine, count=10, pause_s=pause_s)
     assert planner.choose_decoder(make_input(prompt)) is not slow
--- a/packages/bulrushgrade/tests/test_engineplan_load.py
+++ b/packages/bulrushgrade/tests/test_engineplan_load.py
@@ -4,8 +4,8 @@
 
 from planscene import ENGINES
 from planscene import TRAITS
+from planscene import add_streams
 from planscene import find_preferred
-from planscene import let_stream
 from planscene import make_input
 from planscene import make_plan
 from planscene import make_planner
@@ -56,7 +56,7 @@
     """
     planner = make_planner()
     for engine in ENGINES[2:]:
-        let_stream(planner, engine, count=30)
+        add_streams(planner, engine, count=30)
     free_at = {engine.id: 0.0 for engine in ENGINES}
     under_way = []
     taken, refused, late = 0, 0, 0
@@ -64,8 +64,8 @@
         now = number * 0.08
         prompt = make_prompt(f"s{number}")
         while under_way and under_way[0][0] <= now:
-            done, _, load, reading, stage = heapq.heappop(under_way)
-            load.answered(reading, stage, done)
+            done, _, load, prefill, stage = heapq.heappop(under_way)
+            load.answered(prefill, stage, done)
         plan = make_plan(prompt, planner=planner, now=now)
         if engineadmission.lateness_s(plan, left_s=5.0, patience_s=3.2) > 0:
             refused += 1
@@ -75,7 +75,7 @@
         free_at[prefiller.id] = max(now, free_at[prefiller.id]) + plan.prefill_s
         done = free_at[prefiller.id] + plan.latency_s
         late += done - now > 3.2
-        reading = engineload.PendingPrefill(
+        prefill = engineload.PendingPrefill(
             expected_s=plan.prefill_s,
             sent_at=now,
             tokens=plan.read_tokens,
@@ -84,8 +84,8 @@
             parts=prompt.shared_parts,
         )
         load = planner.fleet.load(prefiller, TRAITS)
-        load.begin(reading)
-        entry = (done, number, load, reading, prefiller.stage)
+        load.begin(prefill)
+        entry = (done, number, load, prefill, prefiller.stage)
         heapq.heappush(under_way, entry)
     assert refused > 80
     assert taken > 95
@@ -100,13 +100,13 @@
     planner = make_planner()
     prompt = make_prompt("s1", shared_tokens=16_000)
     first = make_plan(prompt, planner=planner)
-    reading = engineload.PendingPrefill(
+    prefill = engineload.PendingPrefill(
         expected_s=first.busy_s,
         sent_at=0.0,
         tokens=first.read_tokens,
         parts=prompt.shared_parts,
     )
-    planner.fleet.load(first.prefill, TRAITS).begin(reading)
+    planner.fleet.load(first.prefill, TRAITS).begin(prefill)
     reported_wait_s = {first.prefill.id: first.busy_s - 0.1}
     second = make_plan(
         prompt, planner=planner, now=0.1, reported_wait_s=reported_wait_s
--- a/packages/bulrushgrade/tests/test_enginequeue.py
+++ b/packages/bulrushgrade/tests/test_enginequeue.py
@@ -10,7 +10,7 @@
     )
 
 
-def test_a_prompt_waits_for_what_is_left_of_those_before():
+def test_wait_is_the_rest_of_the_queue():
     queues = enginequeue.EngineQueues()
     queues.begin("e", ("h1", 1), entry(0.4, 0.0))
     queues.begin("e", ("h2", 1), entry(0.3, 0.1))
--- a/packages/bulrushgrade/tests/test_prefillqueue.py
+++ b/packages/bulrushgrade/tests/test_prefillqueue.py
@@ -23,7 +23,7 @@
     return round(queue.wait_s(now, urgency=urgency), 6)
 
 
-def test_a_prompt_waits_for_what_is_left_of_those_before():
+def test_wait_is_the_rest_of_the_queue():
     queue = make_queue(0.4, 0.3)
     assert wait_s(queue, 0.1) == 0.6
     queue.remove(0, 0.4)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -189,7 +189,7 @@
             now = self._timers.now
             if lets_others_first and stream.last_event_at is None:
                 streams.begin(stream)
-            pause_s = streams.note_events(
+            pause_s = streams.record_events(
                 stream, count, event_tokens=traits.event_tokens, now=now
             )
             if pause_s is not None:
