--- a/packages/bulrushgrade/bulrushgrade/engineorder.py
+++ b/packages/bulrushgrade/bulrushgrade/engineorder.py
@@ -1,4 +1,4 @@
-"""What passes between a holder and one of its engines."""
+"""Messages between the holder of a lease and one of its engines."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Reply(enum.Enum):
-    """How an order that was written was answered."""
+    """The result of writing an order to an engine."""
 
     ACCEPTED = "accepted"
     BUSY = "busy"
@@ -18,13 +18,13 @@
 
 @attrs.frozen(kw_only=True)
 class EngineReport:
-    """What an engine reported of itself.
+    """An engine's report of its own state.
 
     Attributes:
         state: ``serving``, ``draining``, ``changing`` or ``down``.
-        current: What it is.
-        order_id: The last order that it took; empty for none.
-        number: That order's fencing number; -1 for none.
+        current: The engine's current role and model.
+        order_id: The last order that it accepted, or an empty string.
+        number: The fencing token of that order, or -1.
     """
 
     state: str
@@ -37,14 +37,15 @@
 class Order:
     """An order to be written to an engine.
 
-    An engine that checks numbers refuses one below the highest it has taken,
-    and takes the same order under a higher number without a second change.
+    An engine that checks fencing tokens rejects one below the highest that it
+    has accepted. It accepts the same order with a higher token without
+    changing a second time.
 
     Attributes:
         engine: The engine's address.
         order_id: The order's id.
-        number: The fencing number.
-        wanted: What is ordered.
+        number: The fencing token.
+        wanted: The ordered role and model.
     """
 
     engine: str
--- a/packages/bulrushgrade/bulrushgrade/fakeengine.py
+++ b/packages/bulrushgrade/bulrushgrade/fakeengine.py
@@ -1,7 +1,7 @@
-"""An engine in memory, for the tests of those who embed the library.
+"""An in-memory engine for tests of programs that embed the library.
 
-It takes orders as the users' engines do: some refuse a number below the
-highest that they have taken, others carry out whatever reaches them.
+It processes orders as real engines do: some reject a fencing token below the
+highest that they have accepted, others carry out every order they receive.
 """
 
 from collections.abc import Callable
@@ -11,22 +11,22 @@
 from bulrushgrade import engineorder
 from bulrushgrade import orderlog
 
-# Reports kept to be shown late.
+# Reports kept so that `report` can return a delayed one.
 MAX_REPORTS = 20
 
 
 @attrs.define(kw_only=True)
 class FakeEngine:
-    """One engine; times are the true time of the test.
+    """An engine whose times are the simulated time of the test.
 
     Attributes:
-        name: Its address.
-        fencing: Whether it refuses old numbers.
-        initial: What it is at the start and after a crash.
+        name: The engine's address.
+        fencing: Whether it rejects old fencing tokens.
+        initial: Its role and model at the start and after a crash.
         change_s: How long a change takes.
-        read_timeout_s: How long it reads a connection on which nothing comes.
-        on_change: Called with each order that it starts to carry out, and
-            whether it was carrying out another one.
+        read_timeout_s: How long it waits for data on an idle connection.
+        on_change: Called with each order that it starts to carry out and with
+            whether it was still carrying out another one.
     """
 
     name: str
@@ -49,9 +49,9 @@
     def receive(
         self, order: engineorder.Order, *, opened_at: float, now: float
     ) -> engineorder.Reply:
-        """Reads an order from a connection opened at a time."""
-        # One that checks numbers is given no timeout, so that the numbers
-        # alone have to do.
+        """Processes an order that arrives on a connection."""
+        # An engine with fencing has no read timeout, so that tests show that
+        # fencing tokens alone are sufficient.
         if not self.fencing and now >= opened_at + self.read_timeout_s:
             return engineorder.Reply.LOST
         if self.fencing and order.number < self._number:
@@ -68,7 +68,7 @@
         return engineorder.Reply.ACCEPTED
 
     def crash(self, now: float, *, down: bool = False) -> None:
-        """Forgets its order, and stays down or comes back at once."""
+        """Loses the current order; the engine restarts unless `down` is set."""
         self._target, self._order_id = None, ""
         self._busy_until, self._down = now, down
         self._record_report(now)
@@ -76,7 +76,7 @@
     def report(
         self, now: float, *, lag_s: float = 0.0
     ) -> engineorder.EngineReport:
-        """Returns what it reported of itself some time ago."""
+        """Returns the engine's report from `lag_s` seconds ago."""
         self._record_report(now)
         del self._history[:-MAX_REPORTS]
         old = [seen for at, seen in self._history if at <= now - lag_s]
--- a/packages/bulrushgrade/bulrushgrade/fakeholder.py
+++ b/packages/bulrushgrade/bulrushgrade/fakeholder.py
@@ -1,8 +1,8 @@
-"""A daemon's use of a lease and its orders, for tests of embedders.
+"""A simulated lease holder for tests of programs that embed the library.
 
 `FakeHolder` makes the calls that the owner of a `lease.Lease` and an
-`order.OrderTracker` has to make, in their order, over a model log and model
-engines. It has a clock of its own rate.
+`order.OrderTracker` must make, in the required order, against a fake log and
+fake engines. Its clock can run at a different rate than the simulated time.
 """
 
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 
 class FakeHolder:
-    """One candidate for the group ``g``, with its engines."""
+    """One candidate for the lease of group ``g``, with its engines."""
 
     def __init__(
         self,
@@ -40,17 +40,17 @@
         rate: float = 1.0,
         started_at: float = 0.0,
     ):
-        """Makes a candidate that has read nothing.
+        """Creates a candidate that has read nothing.
 
         Args:
-            name: Unique for each run.
-            log: The log; the true time is handed to it.
-            rank: Its place among the candidates.
+            name: The candidate's name, unique to each run.
+            log: The log, which is given the simulated time.
+            rank: The candidate's position among the candidates.
             engines: The group's engines.
-            lease_times: The lease's times, if not the usual ones.
-            order_times: The orders' times, if not the usual ones.
-            rate: Seconds of its clock to a second of true time.
-            started_at: The true time at which its clock shows 0.
+            lease_times: The lease's timing, if not the default.
+            order_times: The orders' timing, if not the default.
+            rate: Seconds that its clock advances per simulated second.
+            started_at: The simulated time at which its clock shows 0.
         """
         serial = itertools.count()
         self._log, self._rate, self._started_at = log, rate, started_at
@@ -72,15 +72,15 @@
             self.order_tracker.set_engine(engine.name, fencing=engine.fencing)
 
     def clock(self, now: float) -> float:
-        """Returns what its clock shows at a true time."""
+        """Returns the local clock's reading at a simulated time."""
         return self._rate * (now - self._started_at)
 
     def holds_lease(self, now: float) -> bool:
-        """Whether it finds that it has authority."""
+        """Returns whether it holds a valid lease by its own clock."""
         return self.lease.holds_lease(self.clock(now))
 
     def read(self, now: float, *, limit: int = 500) -> None:
-        """Reads on in the control stream."""
+        """Reads the next page of the control stream."""
         page = self._log.read(
             self.lease.stream, self.order_tracker.next_offset, limit=limit
         )
@@ -94,7 +94,7 @@
         lag_s: float = 0.0,
         limit: int = 500,
     ) -> None:
-        """Reads, hears its engines, appends what is due, and reads again."""
+        """Reads, polls its engines, appends what is due and reads again."""
         self.read(now, limit=limit)
         clock = self.clock(now)
         for engine in self._engines.values():
@@ -112,7 +112,7 @@
         *,
         delivery: fakelog.Delivery = fakelog.Delivery.STORED,
     ) -> bool:
-        """Makes and appends an intent; returns whether there was one."""
+        """Appends an intent; returns whether one could be made."""
         made = self.order_tracker.propose(engine, wanted, self.clock(now))
         made.map(lambda append: self.append(append, delivery, now))
         self.read(now)
@@ -121,13 +121,13 @@
     def append(
         self, append: record.Append, delivery: fakelog.Delivery, now: float
     ) -> None:
-        """Appends a record, and tells its part of a certain failure."""
+        """Appends a record and reports a failure to its creator."""
         if self._log.deliver(append, delivery, now):
             self.lease.append_failed(append.record_id)
             self.order_tracker.append_failed(append.record_id)
 
     def begin_write(self, now: float) -> engineorder.Order | None:
-        """Checks that an order may be written; the write has yet to come."""
+        """Opens the write of an order, if one may be written."""
         found = self.order_tracker.sendable(self.clock(now))
         if not found or self._write is not None:
             return None
@@ -136,7 +136,7 @@
         return found[0]
 
     def finish_write(self, now: float, *, lose_answer: bool = False) -> None:
-        """Writes the order that was begun, however long ago that was."""
+        """Completes the write begun by `begin_write`, at any later time."""
         if self._write is None:
             return
         write, self._write = self._write, None
@@ -150,7 +150,7 @@
     def write(
         self, now: float, *, lose_answer: bool = False
     ) -> engineorder.Order | None:
-        """Checks and writes one order in one turn, if there is one."""
+        """Begins and finishes the write of one order, if there is one."""
         begun = self.begin_write(now)
         if begun is not None:
             self.finish_write(now, lose_answer=lose_answer)
--- a/packages/bulrushgrade/bulrushgrade/fakelog.py
+++ b/packages/bulrushgrade/bulrushgrade/fakelog.py
@@ -1,9 +1,9 @@
-"""A log service in memory, for the tests of those who embed the library.
+"""An in-memory log service for tests of programs that embed the library.
 
-`FakeLog` keeps what the platform's log promises, a total order of offsets in
-each stream and trimming from the front, and nothing more: like the platform's,
-it stores a repeated append twice. `FaultyLog` adds what may become of an
-append on its way.
+`FakeLog` gives the same guarantees as the platform's log and no more: offsets
+are in total order within a stream, and streams are trimmed from the front.
+Like the platform's log, it stores a repeated append twice. `FaultyLog` adds
+failed, delayed and duplicated appends.
 """
 
 import enum
@@ -39,7 +39,7 @@
         return item
 
     def read(self, stream: str, start: int, *, limit: int = 500) -> record.Page:
-        """Returns records from `start`, or from the earliest retained one."""
+        """Returns records from `start` or from the earliest retained one."""
         kept = self._streams.get(stream, _Stream())
         first = max(start, kept.earliest)
         index = first - kept.earliest
@@ -52,7 +52,7 @@
         )
 
     def trim(self, stream: str, earliest: int) -> None:
-        """Drops the records before an offset."""
+        """Deletes the records before an offset."""
         kept = self._streams.setdefault(stream, _Stream())
         earliest = min(earliest, kept.end)
         del kept.records[: max(0, earliest - kept.earliest)]
@@ -60,7 +60,7 @@
 
 
 class Delivery(enum.Enum):
-    """What becomes of an append."""
+    """What happens to an append."""
 
     STORED = "lands"
     REJECTED = "fails, and its writer is told"
@@ -78,7 +78,7 @@
 
 
 class FaultyLog(FakeLog):
-    """A log whose appends may fail, come late or come twice."""
+    """A log whose appends can fail, be delayed or be duplicated."""
 
     def __init__(self):
         super().__init__()
@@ -87,16 +87,16 @@
 
     @property
     def in_flight(self) -> list[tuple[float, record.Append]]:
-        """Appends that have not landed, with the times they were sent."""
+        """Appends that are not stored yet, with the times they were sent."""
         return self._in_flight
 
     def deliver(
         self, append: record.Append, delivery: Delivery, now: float
     ) -> bool:
-        """Lets an append meet its delivery.
+        """Handles an append as `delivery` says.
 
         Returns:
-            Whether its writer learns for certain that it failed.
+            Whether the writer is told that the append failed.
         """
         for _ in range(_IMMEDIATE_COPIES.get(delivery, 0)):
             self._store(append, now)
@@ -105,15 +105,15 @@
         return delivery is Delivery.REJECTED
 
     def store_next(self, now: float) -> None:
-        """Stores the append that is under way for longest."""
+        """Stores the append that has been in flight the longest."""
         self._store(self._in_flight.pop(0)[1], now)
 
     def drop_next(self) -> None:
-        """Loses the append that is under way for longest."""
+        """Drops the append that has been in flight the longest."""
         self._in_flight.pop(0)
 
     def trim_older(self, stream: str, limit: float) -> None:
-        """Drops the records that were stored before a time."""
+        """Deletes the records that were stored before a time."""
         times = self._stored_at.get(stream, [])
         self.trim(stream, sum(1 for at in times if at < limit))
 
--- a/packages/bulrushgrade/bulrushgrade/kernel.py
+++ b/packages/bulrushgrade/bulrushgrade/kernel.py
@@ -1,8 +1,9 @@
-"""A micro-kernel: named services, started and stopped in order.
+"""A microkernel that starts, stops and connects named services.
 
-Services find each other by name, own their state, and talk by typed messages
-that the kernel delivers in a later turn. The kernel has no reactor of its
-own: its owner hands in the function that runs a callback in a later turn.
+Services look each other up by name, own their state and exchange typed
+messages, which the kernel delivers in a later event-loop turn. The kernel has
+no reactor of its own: its owner passes in the function that schedules a
+callback.
 """
 
 from collections.abc import Callable
@@ -18,22 +19,22 @@
 
 
 class Service(Protocol):
-    """What the kernel asks of a service."""
+    """The interface that a service must implement."""
 
     name: str
     requires: tuple[str, ...]
 
     async def start(self) -> None:
-        """Opens what the service owns."""
+        """Starts the service and acquires its resources."""
 
     async def stop(self) -> None:
-        """Finishes its work and closes what it owns."""
+        """Finishes pending work and releases the service's resources."""
 
     def receive(self, message: Any) -> None:
-        """Takes a message that another service sent."""
+        """Handles a message that another service sent."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the service's state for a person, ready for JSON."""
+        """Returns the service's state for diagnostics, as JSON values."""
 
 
 def sort_services(
@@ -41,13 +42,13 @@
 ) -> Result[
     tuple[Service, ...], errors.UnknownService | errors.DependencyCycle
 ]:
-    """Orders services so that each comes after those that it requires.
+    """Sorts services so that each comes after those that it requires.
 
     Args:
         services: The services in order of registration, which breaks ties.
 
     Returns:
-        The ordered services, or the name or cycle that rules an order out.
+        The sorted services, or the unknown name or the dependency cycle.
     """
     waiting = {service.name: service for service in services}
     for service in waiting.values():
@@ -70,7 +71,7 @@
 
 
 class Kernel:
-    """Registers services, runs their life cycle and passes messages."""
+    """Registers services, manages their life cycle, delivers messages."""
 
     def __init__(
         self,
@@ -78,10 +79,10 @@
         call_soon: Callable[[Callable[[], None]], Any],
         on_broken: Callable[[str], None],
     ):
-        """Makes an empty kernel.
+        """Creates a kernel without services.
 
         Args:
-            call_soon: Runs a callback in a later turn.
+            call_soon: Schedules a callback in a later event-loop turn.
             on_broken: Called once with the reason when a service breaks an
                 invariant; must stop the process.
         """
@@ -93,14 +94,14 @@
 
     @property
     def broken(self) -> str | None:
-        """Why the process has to stop, or None while all is well."""
+        """Why the process must stop, or None if no invariant is broken."""
         return self._broken
 
     def register(self, service: Service) -> None:
-        """Adds a service; names are unique."""
+        """Registers a service under its name, which must be unique."""
         if service.name in self._services:
             raise errors.BrokenInvariantError(
-                f"two services are named {service.name}"
+                f"a service named {service.name} is already registered"
             )
         self._services[service.name] = service
 
@@ -108,19 +109,21 @@
         """Returns the service of this name.
 
         Raises:
-            errors.BrokenInvariantError: There is none.
+            errors.BrokenInvariantError: No such service is registered.
         """
         if name not in self._services:
-            raise errors.BrokenInvariantError(f"no service is named {name}")
+            raise errors.BrokenInvariantError(
+                f"service {name} is not registered"
+            )
         return self._services[name]
 
     def send(self, name: str, message: Any) -> None:
-        """Delivers a message to a service in a later turn."""
+        """Schedules delivery of a message in a later event-loop turn."""
         service = self.find(name)
         self._call_soon(lambda: self._deliver(service, message))
 
     async def start(self) -> None:
-        """Starts every service after those that it requires."""
+        """Starts all services, each after those that it requires."""
         order = sort_services(self._services.values())
         if isinstance(order, Failure):
             raise errors.BrokenInvariantError(str(order.failure()))
@@ -129,7 +132,7 @@
             self._started.append(service)
 
     async def stop(self) -> None:
-        """Stops the started services, the last started first."""
+        """Stops the started services in reverse order."""
         while self._started:
             await self._started.pop().stop()
 
@@ -138,15 +141,15 @@
         return {name: s.dump() for name, s in self._services.items()}
 
     def fail(self, reason: str) -> None:
-        """Records a broken invariant and has the process stopped, once."""
+        """Records a broken invariant and reports it to the owner, once."""
         if self._broken is None:
             self._broken = reason
             self._on_broken(reason)
 
     def _deliver(self, service: Service, message: Any) -> None:
-        # An exception out of a service means that its state may be half
-        # changed. Going on would decide from it; a restarted process rebuilds
-        # its state from the log and its peers, so stopping is the safe side.
+        # After an exception the service's state may be inconsistent, and later
+        # decisions would depend on it. A restarted process rebuilds its state
+        # from the log and its peers, so stopping is safer.
         try:
             service.receive(message)
         except Exception as error:
--- a/packages/bulrushgrade/bulrushgrade/lease.py
+++ b/packages/bulrushgrade/bulrushgrade/lease.py
@@ -1,11 +1,13 @@
 """One candidate's lease over a group of engines.
 
-`leaselog.LeaseFold` says whose records are effective; `Lease` adds what only
-this process's clock can tell: when to claim, to renew, and to stop acting.
-
-Times are seconds of a clock that counts suspend. Only rates of clocks are
-ever compared: the holder counts from before it sent a renewal, a candidate
-from after it read it, and the guard covers the difference of the rates.
+`leaselog.LeaseFold` determines which lease records are effective. `Lease` adds
+the decisions that depend on the local clock: when to claim, when to renew and
+when to stop acting as the holder.
+
+Times are seconds of a monotonic clock that keeps counting while the machine is
+suspended. Clocks of different hosts are never compared, only their rates
+matter: the holder counts from before it sent a renewal, a candidate from after
+it read that renewal, and the guard interval covers the difference in rates.
 """
 
 from collections.abc import Callable
@@ -19,26 +21,28 @@
 from bulrushgrade import position
 from bulrushgrade import record
 
-# Appends of this process whose send times are remembered. More are in flight
-# only when the log is away, and an older one could no longer extend a lease.
+# Appends whose send times are kept. More are in flight only while the log is
+# unavailable, and by then the oldest could no longer extend a lease.
 MAX_TRACKED_APPENDS = 16
 
 
 @attrs.frozen(kw_only=True)
 class LeaseTimes:
-    """The times of a lease, in seconds.
+    """Timing parameters of a lease, in seconds.
 
     Attributes:
-        ttl_s: How long an effective renewal lasts.
-        guard_s: Taken off by the holder and added by candidates. It has to
-            cover the TTL times the difference of two clocks' rates, and a
-            turn's length between a check and the write that relies on it.
-        renew_every_s: Time between renewals; a third of the TTL leaves room
-            for two that fail.
-        retry_s: Time between tries while the log does not answer.
-        stagger_s: How much later each further rank claims, so that after a
-            loss not all candidates load the log at once: about the time for a
-            claim to be appended and read.
+        ttl_s: How long a lease lasts after an effective claim or renewal.
+        guard_s: Safety margin that the holder subtracts from the TTL and
+            candidates add to it. It must cover the TTL multiplied by the
+            difference between two clocks' rates, plus the length of an
+            event-loop turn between a check and the write that relies on it.
+        renew_every_s: Interval between renewals. A third of the TTL tolerates
+            two failed renewals.
+        retry_s: Interval between attempts while the log does not answer.
+        stagger_s: Additional delay per rank before a candidate claims, about
+            the time that it takes to append a claim and read it back. It
+            keeps candidates from loading the log all at once when a holder
+            is lost.
     """
 
     ttl_s: float = 6.0
@@ -49,7 +53,9 @@
 
     def __attrs_post_init__(self):
         if not 0 < self.guard_s < self.ttl_s - self.renew_every_s:
-            raise errors.BrokenInvariantError("lease times leave no lease")
+            raise errors.BrokenInvariantError(
+                "guard_s must be positive and below ttl_s - renew_every_s"
+            )
 
 
 class _Phase(Protocol):
@@ -57,22 +63,22 @@
         """Returns the phase's name."""
 
     def claim_sent(self) -> None:
-        """A claim was handed out to be appended."""
+        """A claim was returned to the owner to be appended."""
 
     def claim_failed(self) -> None:
-        """The claim lost, or was not read back in time."""
+        """The claim had no effect or was not read back in time."""
 
     def won(self) -> None:
-        """An own claim or renewal was read back as effective, in time."""
+        """This process's claim or renewal was read back as effective."""
 
     def expired(self) -> None:
-        """The lease ran out by this process's clock."""
+        """The lease expired according to the local clock."""
 
     def superseded(self) -> None:
-        """The term is not, or not known to be, the own one any more."""
+        """The current term is no longer known to be this process's."""
 
     def retire(self) -> None:
-        """The process gives up authority for good."""
+        """The process stops competing for the lease."""
 
 
 def _build_phases():
@@ -106,10 +112,10 @@
 class Lease:
     """One candidate's view of one group's lease.
 
-    The owner feeds pages of the stream as read, asks at each tick what to
-    append, and sends that after the call; `holds_lease` must be asked in the
-    same turn as the write that relies on it. The present time given along
-    with a page must be taken after the page was received.
+    The owner passes in each page that it reads from the stream, calls `tick`
+    periodically and appends the records that it returns. `holds_lease` must
+    be called in the same event-loop turn as the write that relies on it. The
+    time passed in with a page must be taken after the page was received.
     """
 
     def __init__(
@@ -121,14 +127,15 @@
         times: LeaseTimes,
         new_id: Callable[[], str],
     ):
-        """Makes a view that has read nothing.
+        """Creates a view of a stream that has not been read yet.
 
         Args:
-            group: The group of engines.
-            holder: This candidate's name, unique for each run.
-            rank: Its place among the candidates, from 0; None only watches.
-            times: The lease's times, equal for all candidates.
-            new_id: Makes a unique record id.
+            group: The name of the group of engines.
+            holder: This candidate's name, unique to each run of the process.
+            rank: The candidate's position among the candidates, from 0. None
+                means that it never claims the lease.
+            times: The timing parameters, the same for all candidates.
+            new_id: Returns a unique record id.
         """
         self._stream = f"control.{group}"
         self._name = holder
@@ -146,7 +153,7 @@
 
     @property
     def stream(self) -> str:
-        """The stream to read and to append to."""
+        """The name of the stream that is read and appended to."""
         return self._stream
 
     @property
@@ -156,39 +163,39 @@
 
     @property
     def fold(self) -> leaselog.LeaseFold:
-        """What all readers agree on."""
+        """The state derived from the records, the same for all readers."""
         return self._fold
 
     @property
     def phase(self) -> str:
-        """One of watching, claiming, holding, lapsed, retired."""
+        """One of watching, claiming, holding, lapsed and retired."""
         return self._phase.name()
 
     @property
     def term(self) -> int | None:
-        """The own term, also when its lease has run out meanwhile."""
+        """This process's term, even if its lease has expired since."""
         return self._own_term
 
     @property
     def expires_at(self) -> float:
-        """When the own lease ends by this process's clock."""
+        """When this process's lease ends, by the local clock."""
         return self._expires_at
 
     def set_rank(self, rank: int | None) -> None:
-        """Changes the candidate's rank, as the set of hosts changes."""
+        """Changes the candidate's rank when the set of hosts changes."""
         self._rank = rank
 
     def holds_lease(self, now: float) -> bool:
-        """Whether this process has authority at this moment.
+        """Returns whether this process holds a valid lease now.
 
-        A process that was stopped for several TTLs still finds itself in the
-        phase of holding when it wakes; the clock, which went on, tells. So
-        the time decides, never the phase alone.
+        A process that was paused for several TTLs is still in the holding
+        phase when it resumes, so the phase alone is not sufficient: the time
+        is compared with the end of the lease as well.
         """
         return now < self._expires_at and self.phase == "holding"
 
     def apply_page(self, page: record.Page, now: float) -> None:
-        """Takes a page of the stream."""
+        """Processes a page of the stream."""
         if self._position.open_page(page):
             self._handle_gap(now)
         for item in page.records:
@@ -198,7 +205,7 @@
             self._unchanged_since = now
 
     def apply(self, item: record.Record, now: float) -> None:
-        """Takes one record of the stream."""
+        """Processes one record of the stream."""
         arrival = self._position.advance(item.offset)
         if arrival is position.Arrival.REPEATED:
             return
@@ -208,7 +215,8 @@
         found = self._fold.apply(item)
         if found is None:
             return
-        # An unjudged record may have been effective: wait for its lease too.
+        # A record that can't be evaluated may be effective, so candidates
+        # wait for the lease that it may have extended.
         if found or not was_term_known:
             self._unchanged_since = now
         for entry in found:
@@ -219,7 +227,7 @@
             self._phase.claim_failed()
 
     def tick(self, now: float) -> tuple[record.Append, ...]:
-        """Returns what to append now; call it several times a second."""
+        """Returns the records to append; call it several times a second."""
         phase = self.phase
         if phase == "holding" and now >= self._expires_at:
             self._phase.expired()
@@ -228,8 +236,9 @@
         if now < self._last_sent + self._times.retry_s:
             return ()
         if phase == "retired" and self._owns_term():
-            # A release whose answer was lost, or a claim that came through
-            # after all: without this, candidates would wait for its TTL.
+            # The release's answer was lost, or a claim took effect after
+            # this process retired. Without another release, candidates would
+            # wait for the full TTL.
             return (self._send(self._build_message(leaselog.Release), now),)
         if self._may_claim(now):
             self._phase.claim_sent()
@@ -242,18 +251,19 @@
         return ()
 
     def append_failed(self, record_id: str) -> None:
-        """Notes that an append certainly did not take effect."""
+        """Records that an append is known not to have taken effect."""
         self._sent_at.pop(record_id, None)
         if self.phase == "claiming":
             self._phase.claim_failed()
 
     def retire(self, now: float) -> record.Append | None:
-        """Gives up authority for good; call it before a planned stop.
+        """Stops competing for the lease; call it before a planned stop.
+
+        All work that relies on the lease must have finished.
 
         Returns:
-            The release to append, which saves candidates the wait for the
-            lease's end, or None where there is nothing to release. All work
-            that relies on the lease has to be over before.
+            The release to append, which lets candidates claim without waiting
+            for the lease to expire, or None if there is nothing to release.
         """
         owned = self._owns_term()
         self._phase.retire()
@@ -273,10 +283,11 @@
             return False
         wait_s = self._rank * self._times.stagger_s
         if not self._fold.is_term_known or self._fold.term is not None:
-            # The last holder, known or hidden by a gap, may act until its
-            # TTL less the guard is over by its own clock. It sent its last
-            # renewal before it could be read here, so TTL plus guard from
-            # then on outlasts it as long as the rates differ by less.
+            # The last holder, which a trimmed gap may hide, can act until
+            # its TTL minus the guard has passed on its own clock. It sent its
+            # last renewal before that could be read here, so waiting for the
+            # TTL plus the guard from then on outlasts its lease, as long as
+            # the guards cover the difference between the clocks' rates.
             wait_s += self._times.ttl_s + self._times.guard_s
         return now >= self._unchanged_since + wait_s
 
--- a/packages/bulrushgrade/bulrushgrade/leaselog.py
+++ b/packages/bulrushgrade/bulrushgrade/leaselog.py
@@ -1,9 +1,10 @@
-"""Lease records of a control stream, and who they give authority to.
+"""Lease records of a control stream and the holder that they determine.
 
-Records of the stream ``control.GROUP`` decide who holds a group of engines: a
-`Claim` that is effective makes its writer the holder, and its offset is the
-term. `Renew` keeps the lease going and `Release` ends it. `LeaseFold` judges
-them; no clock has a part in it, so every reader comes to the same result.
+Records of the stream ``control.GROUP`` determine which process holds the lease
+on a group of engines. An effective `Claim` makes its writer the holder, and
+its offset becomes the term. `Renew` extends the lease and `Release` ends it.
+`LeaseFold` evaluates the records without using a clock, so every reader
+arrives at the same result.
 """
 
 import attrs
@@ -12,20 +13,23 @@
 from bulrushgrade import codec
 from bulrushgrade import record
 
-# Lease records that can't be judged yet, kept until a later record settles
-# them. A live group settles them within one renewal; what is dropped here
-# only delays that, since a dropped record is never believed.
+# Maximum number of lease records kept while they can't be evaluated yet. In an
+# active group the next renewal decides them. Dropping a record only delays the
+# decision, since a dropped record is never treated as effective.
 MAX_UNDECIDED = 256
 
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """Asks for authority; effective iff nothing effective came in between.
+    """Requests the lease.
+
+    It is effective if and only if no effective lease record lies between
+    `after_offset` and the claim itself.
 
     Attributes:
-        holder: The candidate's name, unique for each run of the process.
-        after_offset: The last lease record the candidate went by; the claim
-            is not effective when an effective one stands behind it.
+        holder: The candidate's name, unique to each run of the process.
+        after_offset: The offset of the last lease record that the candidate
+            took into account.
     """
 
     holder: str
@@ -34,13 +38,17 @@
 
 @attrs.frozen(kw_only=True)
 class Renew:
-    """Prolongs a lease; effective iff it follows the last effective record.
+    """Extends a lease.
+
+    It is effective if and only if `term` is the current term and
+    `after_offset` is the last effective lease record.
 
     Attributes:
         holder: The holder's name, for readers that missed the claim.
         term: The offset of the holder's claim.
-        after_offset: The last effective lease record, as judged by the
-            writer. A reader of a trimmed stream takes it as testimony.
+        after_offset: The offset of the last effective lease record, as
+            evaluated by the writer. It confirms that record to readers of a
+            trimmed stream.
     """
 
     holder: str
@@ -50,7 +58,7 @@
 
 @attrs.frozen(kw_only=True)
 class Release:
-    """Ends a lease; effective iff its term is the current one.
+    """Ends a lease; effective if and only if its term is the current one.
 
     Attributes:
         holder: The holder's name.
@@ -70,7 +78,7 @@
 
 @attrs.frozen(kw_only=True)
 class Judged:
-    """A lease record that was found to be effective."""
+    """A decoded lease record with its position in the stream."""
 
     offset: int
     record_id: str
@@ -78,24 +86,27 @@
 
 
 class LeaseFold:
-    """Judges lease records; every reader comes to the same result.
-
-    A reader that saw the stream from offset 0 judges each record as it comes.
-    Past a trimmed gap it knows nothing, and believes a record only when
-
-    * a later `Renew` or `Release` names it as the last effective one: their
-      writers have judged it, and writers only write what they have judged; or
-    * it is a `Claim` whose `after_offset` reaches the gap's end with no other
-      lease record in between, so that nothing effective can stand between.
-
-    A `Renew` whose claim was trimmed proves no more than that its term once
-    was current: a newer claim may lie in the gap. So it is kept unjudged
-    until the next renewal, written by a holder that read this one back as
-    effective, testifies to it.
-
-    `Renew` must follow the last effective record exactly. A second copy of a
-    record therefore never has an effect, even for a reader to which only the
-    second copy is left; no list of ids is needed.
+    """Determines which lease records are effective.
+
+    Every reader arrives at the same result. A reader that has read the stream
+    from offset 0 evaluates each record as it is read. After a gap of trimmed
+    records the current term is unknown, and a record is accepted as effective
+    only if
+
+    * a later `Renew` or `Release` names it as the last effective record.
+      Writers only name records that they have evaluated themselves; or
+    * it is a `Claim` whose `after_offset` reaches the end of the gap with no
+      other lease record in between, so that no effective record can lie
+      between.
+
+    A `Renew` whose claim was trimmed only proves that its term was current at
+    some time, since the gap may contain a newer claim. It stays undecided
+    until the next renewal confirms it: the holder writes that one after it
+    has read this one back as effective.
+
+    A `Renew` must follow the last effective record exactly. A duplicate of a
+    record is therefore never effective, even for a reader that only sees the
+    duplicate, and no list of record ids is needed.
     """
 
     def __init__(self):
@@ -113,32 +124,32 @@
 
     @property
     def term(self) -> int | None:
-        """The current term, or None where none is known to be current."""
+        """The current term, or None if there is none or it is unknown."""
         return self._term
 
     @property
     def holder(self) -> str:
-        """Who holds the current term; empty where there is none."""
+        """The name of the current holder, or an empty string."""
         return self._holder
 
     @property
     def last_offset(self) -> int:
-        """What a claim made now has to follow."""
+        """The `after_offset` for a lease record that is written now."""
         return self._last_effective if self._is_term_known else self._last_seen
 
     def skip_to(self, origin: int) -> None:
-        """Notes that the records before `origin` were trimmed unread."""
+        """Handles a gap: records before `origin` were trimmed unread."""
         self._is_term_known = False
         self._last_seen = origin - 1
         self._term, self._holder = None, ""
         self._undecided = []
 
     def apply(self, item: record.Record) -> tuple[Judged, ...] | None:
-        """Takes the next record of the stream.
+        """Processes the next record of the stream.
 
         Returns:
-            The lease records that are now known to be effective, in order,
-            or None where the record is no lease record at all.
+            The lease records that this record shows to be effective, in order
+            of offset, or None if it is not a lease record.
         """
         parsed = CODEC.parse(item.body)
         if isinstance(parsed, Failure):
@@ -185,7 +196,7 @@
         message, last_seen = entry.message, self._last_seen
         self._last_seen = entry.offset
         if isinstance(message, Claim):
-            # All that could stand between is what was read since the gap.
+            # Only records read since the gap can lie in between.
             if message.after_offset < last_seen:
                 self._add_undecided(entry)
                 return ()
--- a/packages/bulrushgrade/bulrushgrade/once.py
+++ b/packages/bulrushgrade/bulrushgrade/once.py
@@ -1,13 +1,13 @@
-"""Running a request at most once, whatever host its retries reach.
+"""At-most-once execution of requests that carry an idempotency key.
 
-`OnceShard` is one daemon's view of one shard: it claims keys, says which
-claim may run, and answers duplicates. What the log says is in `oncelog`; what
-is here depends on this process's clock and on what this process itself has
-started.
+`OnceShard` is one daemon's view of one shard. It claims keys, decides which
+claim may run and answers duplicates. `oncelog` derives the state of each key
+from the log; this module adds what depends on the local clock and on the
+requests that this process has started.
 
-The promise: of all requests that carry one key within its life, at most one
-is written to an endpoint, and the others get its answer, or are told to come
-back, or are told that the outcome is unknown.
+Guarantee: of all requests with the same key within the key's lifetime, at most
+one is written to an endpoint, whatever host they reach. The others get its
+answer, or are told to retry, or that the outcome is unknown.
 """
 
 from collections.abc import Callable
@@ -23,23 +23,22 @@
 from bulrushgrade import position
 from bulrushgrade import record
 
-# A duplicate is asked to come back this soon at the latest. The usual request
-# is over within seconds; waiting for the limit of the slowest would keep the
-# caller from an early answer.
+# Upper bound on the retry delay given to a duplicate. Most requests finish
+# within seconds, so a delay up to the run limit would hold back the answer.
 MAX_RETRY_AFTER_S = 1.0
 
 
 @attrs.define(kw_only=True)
 class _OwnClaim:
-    """A claim of this process.
+    """A claim made by this process.
 
     Attributes:
-        key: What it claims.
-        digest: Of its request.
-        sent_at: Clock from before the claim was appended.
+        key: The claimed key.
+        digest: The digest of the request.
+        sent_at: The time before the claim was appended.
         started: Whether a byte may have been written to an endpoint.
         outcome: The record that ends the claim, until it is read back.
-        outcome_sent_at: When that was last handed out.
+        outcome_sent_at: When that record was last returned to the owner.
     """
 
     key: str
@@ -61,13 +60,13 @@
         limits: oncelog.OnceLimits,
         new_id: Callable[[], str],
     ):
-        """Makes a view that has read nothing.
+        """Creates a view of a stream that has not been read yet.
 
         Args:
             shard: The shard's number.
-            runner: This daemon's name, for people.
-            limits: Equal for all daemons.
-            new_id: Makes a unique record id.
+            runner: This daemon's name, for diagnostics.
+            limits: The limits, the same for all daemons.
+            new_id: Returns a unique record id.
         """
         self._stream = f"once.{shard}"
         self._runner = runner
@@ -81,7 +80,7 @@
 
     @property
     def stream(self) -> str:
-        """The stream to read and to append to."""
+        """The name of the stream that is read and appended to."""
         return self._stream
 
     @property
@@ -91,32 +90,32 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether the stream was read from its earliest record to its end.
+        """Whether the stream has been read from its earliest record to its end.
 
-        Without this a daemon may not know of a claim that it should honour,
-        so it claims nothing.
+        Until then the daemon may be unaware of existing claims, so it claims
+        nothing.
         """
         return self._position.caught_up
 
     @property
     def fold(self) -> oncelog.OnceFold:
-        """What the log says about each key."""
+        """The state of each key, derived from the log."""
         return self._fold
 
     @property
     def pending_claims(self) -> int:
-        """Own claims whose end has not been read back."""
+        """The number of this process's claims that have not ended yet."""
         return len(self._own_claims)
 
     def apply_page(self, page: record.Page, now: float) -> None:
-        """Takes a page of the stream."""
+        """Processes a page of the stream."""
         self._position.open_page(page)
         for item in page.records:
             self.apply(item, now)
         self._position.close_page(page)
 
     def apply(self, item: record.Record, now: float) -> None:
-        """Takes one record of the stream."""
+        """Processes one record of the stream."""
         if self._position.advance(item.offset) is position.Arrival.REPEATED:
             return
         self._fold.apply(item, now)
@@ -127,16 +126,16 @@
     def claim(
         self, *, key: str, digest: str, now: float
     ) -> Result[record.Append, oncedecision.Decision]:
-        """Makes a claim of a free key.
+        """Creates a claim of a free key.
 
         Args:
-            key: From `oncelog.scoped_key`.
-            digest: From `oncelog.digest_of`.
+            key: The key, from `oncelog.scoped_key`.
+            digest: The request's digest, from `oncelog.digest_of`.
             now: The time before the claim is sent.
 
         Returns:
-            The claim to append, whose record id names it from here on, or
-            why there is none.
+            The claim to append, whose record id is the claim id, or the
+            decision that rules a claim out.
         """
         decision = self.decide(key=key, digest=digest, now=now)
         if not isinstance(decision, oncedecision.Free):
@@ -157,13 +156,13 @@
     def decide(
         self, *, key: str, digest: str, now: float, claim_id: str = ""
     ) -> oncedecision.Decision:
-        """Says what a request with a key has to do now.
+        """Decides how to proceed with a request.
 
         Args:
             key: The request's key.
             digest: The request's digest.
-            now: The present time.
-            claim_id: The request's own claim, if it has made one.
+            now: The current time.
+            claim_id: The id of the claim made for this request, if any.
         """
         self._fold.expire(now)
         if not self.caught_up:
@@ -179,14 +178,15 @@
         return concurrent if concurrent is not None else oncedecision.Free()
 
     def may_start(self, claim_id: str, now: float) -> bool:
-        """Whether the request of a claim may be written to its endpoint."""
+        """Returns whether a claim's request may be written to its endpoint."""
         own = self._own_claims.get(claim_id)
         if own is None or own.started or own.outcome is not None:
             return False
         entry = self._fold.find(own.key)
-        # A winner that was paused wakes after others may have forgotten the
-        # key and let a new claim run. Its own clock went on meanwhile; the
-        # start limit is far below the key's life, so the late start is seen.
+        # While this process was paused, other daemons may have expired the
+        # key and let a new claim run. The local clock kept counting and the
+        # start limit is far below the key's lifetime, so such a late start
+        # is rejected here.
         return (
             entry is not None
             and entry.state is oncelog.State.CLAIMED
@@ -195,13 +195,13 @@
         )
 
     def start(self, claim_id: str, now: float) -> bool:
-        """Takes the one permission to run a claim.
+        """Marks a claim as started.
 
-        To be called in the same turn as the first write, on a connection
-        opened before.
+        It must be called in the same event-loop turn as the first write, on a
+        connection that is already open.
 
         Returns:
-            Whether the request may be written now; True once at most.
+            Whether the request may be written now; True at most once.
         """
         if not self.may_start(claim_id, now):
             return False
@@ -209,15 +209,17 @@
         return True
 
     def mark_not_started(self, claim_id: str) -> None:
-        """Gives the permission to run a claim back.
+        """Marks a started claim as not started, so that it can run again.
 
-        To be called only where the endpoint itself answered that it did not
-        start the request, and never will: then no run stands against another
-        endpoint's.
+        It may be called only if the endpoint itself answered that it did not
+        start the request and never will, so that the request can be sent to
+        another endpoint without running twice.
         """
         own = self._own_claims.get(claim_id)
         if own is None or not own.started or own.outcome is not None:
-            raise errors.BrokenInvariantError(f"{claim_id} does not run")
+            raise errors.BrokenInvariantError(
+                f"claim {claim_id} is not running"
+            )
         own.started = False
 
     def finish(
@@ -231,20 +233,22 @@
         """Ends a started claim with its outcome.
 
         Args:
-            claim_id: The claim.
-            answer: The whole answer, where there is one.
-            known: False where it can't be told whether it took effect.
-            now: The present time.
+            claim_id: The claim's id.
+            answer: The complete answer, if there is one.
+            known: False if it is unknown whether the request took effect.
+            now: The current time.
 
         Returns:
             The record to append, which `due` repeats until it is read back,
-            or None where the key's life is over.
+            or None if the key's lifetime is over.
         """
         own = self._own_claims.get(claim_id)
         if own is None:
             return None
         if not own.started or own.outcome is not None:
-            raise errors.BrokenInvariantError(f"{claim_id} does not run")
+            raise errors.BrokenInvariantError(
+                f"claim {claim_id} is not running"
+            )
         if answer and len(answer.body) > self._limits.answer_bytes:
             answer = None
         return self._make_outcome(
@@ -260,13 +264,14 @@
         )
 
     def abandon(self, claim_id: str, now: float) -> record.Append | None:
-        """Gives up a claim that was certainly not run.
+        """Abandons a claim that is known not to have run.
 
-        Once called, the claim can't start any more. After `start` it is
-        right only where the endpoint itself answered that it did not start.
+        The claim can no longer start afterwards. After `start`, this method
+        may be called only if the endpoint itself answered that it did not
+        start the request.
 
         Returns:
-            The record to append, or None where the claim has ended already.
+            The record to append, or None if the claim has already ended.
         """
         own = self._own_claims.get(claim_id)
         if own is None or own.outcome is not None:
@@ -277,14 +282,15 @@
         )
 
     def append_failed(self, claim_id: str) -> None:
-        """Notes that the append of a claim certainly did not take effect."""
+        """Records that a claim's append is known not to have taken effect."""
         self._remove_claim(claim_id)
 
     def due(self, now: float) -> tuple[record.Append, ...]:
-        """Returns outcomes to append again; call it at each tick.
+        """Returns the outcomes to append again; call it at each tick.
 
-        An outcome that was lost with the log's answer would leave its key
-        unknown to all. The copies carry one id and have one effect.
+        Without the repetition, a lost append would leave the key's outcome
+        unknown to all daemons. The copies share one record id and have a
+        single effect.
         """
         self._remove_expired(now)
         found = []
@@ -325,10 +331,10 @@
     def _find_concurrent_claim(
         self, key: str, now: float
     ) -> oncedecision.Running | None:
-        """Finds an own claim of the key that is still under way.
+        """Finds a claim of the key by this process that is still in flight.
 
-        Two requests of one key on one daemon would else both claim it; the
-        second claim would only load the log.
+        It keeps a second request with the same key on this daemon from making
+        another claim, which would only load the log.
         """
         own = self._own_claims.get(self._claim_of_key.get(key, ""))
         if own is None or own.outcome is not None:
@@ -373,7 +379,8 @@
             del self._claim_of_outcome[own.outcome.record_id]
 
     def _remove_expired(self, now: float) -> None:
-        # In order of sending, so the first that is not expired ends it.
+        # The claims are in order of sending, so the loop ends at the first
+        # one that has not expired.
         for claim_id, own in list(self._own_claims.items()):
             if now < own.sent_at + self._limits.key_life_s:
                 return
--- a/packages/bulrushgrade/bulrushgrade/oncedecision.py
+++ b/packages/bulrushgrade/bulrushgrade/oncedecision.py
@@ -1,4 +1,4 @@
-"""What a request with an idempotency key may have to do."""
+"""Decisions on how to proceed with a request that carries a key."""
 
 import attrs
 
@@ -13,25 +13,25 @@
 
 @attrs.frozen(kw_only=True)
 class Pending:
-    """The own claim has not been read back yet."""
+    """This request's claim has not been read back yet."""
 
 
 @attrs.frozen(kw_only=True)
 class Run:
-    """The own claim has the key and may start now."""
+    """This request's claim owns the key and may start now."""
 
 
 @attrs.frozen(kw_only=True)
 class Late:
-    """The own claim has the key but may not start any more: abandon it."""
+    """This request's claim may no longer start and must be abandoned."""
 
 
 @attrs.frozen(kw_only=True)
 class Duplicate:
-    """The key was run.
+    """The key has been run.
 
     Attributes:
-        answer: The first answer, or None where it was not kept.
+        answer: The recorded answer, or None if it was not kept.
     """
 
     answer: oncelog.Answer | None
@@ -39,10 +39,10 @@
 
 @attrs.frozen(kw_only=True)
 class Running:
-    """Another request of the key runs, or waits to.
+    """Another request with the key is running or waiting to run.
 
     Attributes:
-        retry_after_s: When its outcome should be known.
+        retry_after_s: Delay after which the caller should retry.
     """
 
     retry_after_s: float
@@ -50,7 +50,7 @@
 
 @attrs.frozen(kw_only=True)
 class Unknown:
-    """The key may have been run, and nobody can tell."""
+    """The key may have been run; the outcome can't be determined."""
 
 
 Decision = (
--- a/packages/bulrushgrade/bulrushgrade/oncelog.py
+++ b/packages/bulrushgrade/bulrushgrade/oncelog.py
@@ -1,9 +1,9 @@
-"""Records of once-only requests, and what they say about each key.
+"""Records of once-only requests and the state of each key.
 
-Records of the stream ``once.SHARD`` decide who may run a request that must
-not be repeated: the first `Claim` of a key in order of offset. `Done` records
-the answer, `Abandon` certifies that the claim was not run and never will be,
-and lets a later claim of the key run.
+Records of the stream ``once.SHARD`` determine which daemon may run a request
+that must not be repeated: the writer of the first `Claim` of its key, in order
+of offset. `Done` records the answer. `Abandon` states that the claim was not
+run and never will be, so that a later claim of the key may run.
 """
 
 import collections
@@ -18,20 +18,20 @@
 from bulrushgrade import errors
 from bulrushgrade import record
 
-# Copies of abandoned claims are told by their ids. More than this many tries
-# of one key within its life are a caller in a loop; an id that is forgotten
-# can only block its key until the key's life is over, never run it.
+# Number of abandoned claim ids kept per key, by which copies of these claims
+# are recognized. Only a caller in a loop exceeds it. A copy whose id was
+# dropped can block its key until the key expires, but never run it.
 MAX_ABANDONED = 32
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """An answer small enough to be kept on the log.
+    """An answer that is small enough to be kept on the log.
 
     Attributes:
-        status: The HTTP status.
-        content_type: Of the body.
-        body: The whole body.
+        status: The HTTP status code.
+        content_type: The content type of the body.
+        body: The complete body.
     """
 
     status: int
@@ -41,15 +41,15 @@
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """Asks to run a key; its record id names the claim.
+    """Requests to run a key; the record's id is the claim id.
 
     Attributes:
         key: The service's name and the caller's idempotency key.
-        digest: Of the request, so that another request under the same key is
-            told apart.
-        runner: The claiming daemon's name, for people.
-        run_limit_s: How long after its start limit the runner may take; past
-            it without an outcome, the outcome is unknown.
+        digest: The digest of the request, to detect a different request with
+            the same key.
+        runner: The claiming daemon's name, for diagnostics.
+        run_limit_s: How long the runner may take after its start limit. If
+            there is no outcome by then, the outcome is unknown.
     """
 
     key: str
@@ -66,8 +66,9 @@
         key: The claim's key.
         claim_id: The claim's record id.
         digest: The claim's digest, for readers that missed the claim.
-        known: False where the runner can't tell whether it took effect.
-        answer: The answer, or None where it was too large to keep.
+        known: False if the runner doesn't know whether the request took
+            effect.
+        answer: The answer, or None if it was too large to keep.
     """
 
     key: str
@@ -79,7 +80,7 @@
 
 @attrs.frozen(kw_only=True)
 class Abandon:
-    """Certifies that a claim was not run and never will be.
+    """States that a claim was not run and never will be.
 
     Attributes:
         key: The claim's key.
@@ -96,39 +97,39 @@
 def shard_of(key: str, *, shards: int) -> int:
     """Returns the shard of a key.
 
-    The number of shards must stay the same for as long as a key lives: two
-    daemons with different numbers would claim one key on two streams.
+    The number of shards must not change within a key's lifetime: two daemons
+    with different numbers would claim the same key on two streams.
     """
     return xxhash.xxh3_64_intdigest(key.encode()) % shards
 
 
 def scoped_key(*, service: str, idempotency_key: str) -> str:
-    """Returns the key on the log, apart for each service."""
+    """Returns the key that is used on the log, unique per service."""
     return f"{service}\n{idempotency_key}"
 
 
 def digest_of(*, method: str, path: str, body: bytes) -> str:
-    """Returns a digest by which two requests count as the same."""
+    """Returns a digest that is equal for identical requests."""
     start = f"{method} {path}\n".encode()
     return hashlib.sha256(start + body).hexdigest()
 
 
 @attrs.frozen(kw_only=True)
 class OnceLimits:
-    """Times and sizes of once-only work.
+    """Time and size limits of once-only requests.
 
     Attributes:
-        start_limit_s: A claim that was not started this long after it was
-            sent is never started. It bounds what a paused winner can do.
+        start_limit_s: How long after it was sent a claim may be started. It
+            keeps a daemon that resumes after a pause from starting late.
         run_limit_s: How long a started request may take.
-        key_life_s: How long a key is remembered after its last record; far
-            above the two limits, so that no key is forgotten, and claimed
-            anew, while its first claim may still start or run.
-        retention_s: How long the log keeps records; far above the key's life,
-            so that a daemon that starts reads all that it has to know.
-        retry_s: Time between tries to append an outcome.
-        answer_bytes: Answers with larger bodies are not kept.
-        answer_memory_bytes: Bound on the bodies of all kept answers.
+        key_life_s: How long a key is kept after its last record. It must be
+            far above the two limits, so that a key can't expire and be
+            claimed again while its first claim may still start or run.
+        retention_s: How long the log keeps records. It must be far above the
+            key's lifetime, so that a starting daemon reads all live keys.
+        retry_s: Interval between attempts to append an outcome.
+        answer_bytes: Maximum size of the body of an answer that is kept.
+        answer_memory_bytes: Maximum total size of the bodies kept in memory.
     """
 
     start_limit_s: float = 5.0
@@ -140,16 +141,20 @@
     answer_memory_bytes: int = 16 * 2**20
 
     def __attrs_post_init__(self):
-        # A factor of two covers the difference of clocks' rates and the lag
-        # of readers many times over.
+        # A factor of two is far more than the difference between clocks'
+        # rates and the lag of readers require.
         if 2 * (self.start_limit_s + self.run_limit_s) > self.key_life_s:
-            raise errors.BrokenInvariantError("a key could outlive its life")
+            raise errors.BrokenInvariantError(
+                "key_life_s is below 2 * (start_limit_s + run_limit_s)"
+            )
         if 2 * self.key_life_s > self.retention_s:
-            raise errors.BrokenInvariantError("a key could outlive the log")
+            raise errors.BrokenInvariantError(
+                "retention_s is below 2 * key_life_s"
+            )
 
 
 class State(enum.Enum):
-    """What the log says about a key."""
+    """The state of a key according to the log."""
 
     CLAIMED = "claimed"
     ABANDONED = "abandoned"
@@ -158,17 +163,17 @@
 
 @attrs.define(kw_only=True)
 class Entry:
-    """What is remembered of a key.
+    """What is known about a key.
 
     Attributes:
-        state: What the log says.
-        claim_id: The claim that has the key, or had it last.
-        digest: Of that claim's request.
+        state: The state according to the log.
+        claim_id: The claim that owns the key, or the last one that did.
+        digest: The digest of that claim's request.
         claimed_at: When this process read that claim.
         run_limit_s: As in `Claim`.
         known: As in `Done`.
-        answer: As in `Done`; dropped early when memory is short.
-        abandoned: Ids of the claims given up.
+        answer: As in `Done`; dropped early when memory runs short.
+        abandoned: The ids of abandoned claims.
         touched_at: When this process last read a record of the key.
     """
 
@@ -184,10 +189,10 @@
 
 
 class OnceFold:
-    """What one shard's records say, for as long as keys live."""
+    """The state of one shard's keys, each until it expires."""
 
     def __init__(self, *, limits: OnceLimits):
-        """Makes an empty fold."""
+        """Creates a fold without keys."""
         self._limits = limits
         self._answer_bytes = 0
         self._entries: collections.OrderedDict[str, Entry] = (
@@ -202,15 +207,15 @@
 
     @property
     def answer_bytes(self) -> int:
-        """Bytes of the answers' bodies kept now."""
+        """The total size of the kept answers' bodies."""
         return self._answer_bytes
 
     def find(self, key: str) -> Entry | None:
-        """Returns what is known of a key, if anything."""
+        """Returns what is known about a key, or None."""
         return self._entries.get(key)
 
     def expire(self, now: float) -> None:
-        """Forgets the keys whose life is over."""
+        """Removes the keys whose lifetime is over."""
         while self._entries:
             key, entry = next(iter(self._entries.items()))
             if now < entry.touched_at + self._limits.key_life_s:
@@ -219,7 +224,7 @@
             self._drop_answer(key)
 
     def apply(self, item: record.Record, now: float) -> None:
-        """Takes the next record of the stream."""
+        """Processes the next record of the stream."""
         self.expire(now)
         parsed = CODEC.parse(item.body)
         if isinstance(parsed, Failure):
@@ -231,9 +236,9 @@
             self._apply_done(message, now)
         else:
             self._apply_abandon(message, now)
-        # Whatever its effect, a record of the key keeps it from being
-        # forgotten: a reader that ignored a claim must not claim the key
-        # itself while another reader may have let that claim run.
+        # Every record of a key extends its lifetime, even one without effect.
+        # A reader that ignored a claim must not claim the key itself while
+        # that claim may be running for another reader.
         entry = self._entries.get(message.key)
         if entry is not None:
             entry.touched_at = now
@@ -256,9 +261,9 @@
         )
 
     def _apply_done(self, message: Done, now: float) -> None:
-        # Only the runner of an effective claim writes this. So it tells that
-        # the key was run even where this reader missed the claim or saw only
-        # a second copy of an earlier one.
+        # Only the runner of an effective claim writes this record. It proves
+        # that the key was run, even if this reader missed the claim or only
+        # read a duplicate of an earlier one.
         entry = self._entries.get(message.key)
         if entry is None:
             entry = Entry(
@@ -271,8 +276,8 @@
             self._entries[message.key] = entry
         elif entry.state is State.DONE and entry.claim_id == message.claim_id:
             return
-        # Another claim's outcome: its daemon had forgotten the key before
-        # this one did. The later answer is the one that all give from now on.
+        # The outcome of another claim, whose daemon expired the key before
+        # this one did. From now on all daemons give the later answer.
         entry.state = State.DONE
         entry.claim_id = message.claim_id
         entry.digest = message.digest
@@ -283,8 +288,8 @@
             self._store_answer(message.key, entry, message.answer)
 
     def _apply_abandon(self, message: Abandon, now: float) -> None:
-        # It may stand before its claim, when the claim's append was slow and
-        # its runner gave up meanwhile: the id is noted in any case.
+        # It can precede its claim if the claim's append was delayed and its
+        # runner gave up in the meantime, so the id is always recorded.
         entry = self._entries.get(message.key)
         if entry is None:
             entry = Entry(
--- a/packages/bulrushgrade/bulrushgrade/order.py
+++ b/packages/bulrushgrade/bulrushgrade/order.py
@@ -1,9 +1,9 @@
-"""What a holder may order of its engines, and when.
+"""Orders from the holder of a lease to its engines.
 
-`OrderTracker` reads a control stream for its candidate's `lease.Lease` and for
-the orders on it, and tells the owner which records to append and which orders
-to write. An order is written only while the lease lasts, after its intent was
-read back, and for as long as the engine was not seen to be through with it.
+`OrderTracker` processes a control stream for its candidate's `lease.Lease` and
+for the orders on it. It tells its owner which records to append and which
+orders to write. An order is written only while the lease is valid, after its
+intent was read back, and until the engine reports that it has completed it.
 """
 
 from collections.abc import Callable
@@ -24,23 +24,23 @@
 
 @attrs.frozen(kw_only=True)
 class OrderTimes:
-    """Times of orders, in seconds.
+    """Timing parameters of orders, in seconds.
 
     Attributes:
-        pause_allowance_s: How much longer a new holder waits before its first
-            order to an engine that ignores fencing numbers, and a holder
-            before another order after one whose answer was lost. It has to
-            outlast the engine's read timeout plus the longest time a segment
-            is under way, so that what a paused process writes later meets a
-            closed connection.
-        resend_s: Time between two writes of one order.
-        change_limit_s: Time for an engine to change once it took an order.
-            Only after it, or once the engine is seen down, the order is
-            written again: an engine whose report lags would change twice.
-        retry_s: Time between two appends of one record.
+        pause_allowance_s: Additional delay before a new holder's first order
+            to an engine that does not check fencing tokens, and before the
+            next order to it after an answer was lost. It must exceed the
+            engine's read timeout plus the longest time that a segment is in
+            flight, so that a late write of a paused process reaches a closed
+            connection.
+        resend_s: Interval between two writes of one order.
+        change_limit_s: Time allowed for an engine to carry out an order that
+            it accepted. It is written again only after that, or once the
+            engine is down: an engine with a late report would change twice.
+        retry_s: Interval between two appends of one record.
         refresh_s: Age at which the intent of an unfinished order is appended
-            again, far below the log's retention, so that no fresh reader
-            misses it.
+            again. It must be far below the log's retention, so that every
+            new reader finds the intent.
     """
 
     pause_allowance_s: float = 30.0
@@ -52,19 +52,19 @@
 
 @attrs.define(kw_only=True)
 class _Engine:
-    """What this process knows of an engine.
+    """What this process knows about an engine.
 
     Attributes:
-        fencing: Whether the engine refuses orders with old numbers.
-        seen: Its last report.
-        seen_at: When that was received.
-        open_writes: Orders written whose end is not known yet.
-        write_after: No order is to be written before this.
+        fencing: Whether the engine rejects orders with old fencing tokens.
+        seen: The engine's last report.
+        seen_at: When that report was received.
+        open_writes: The number of writes that have not ended yet.
+        write_after: The earliest time of the next write.
         lost_at: When a write last ended without an answer.
-        append: An intent or outcome under way to the log.
-        append_term: The term it was written for.
-        append_at: When it was last handed out.
-        intent_at: When the own effective intent was read back.
+        append: An intent or outcome that has not been read back yet.
+        append_term: The term in which that record was made.
+        append_at: When it was last returned to the owner.
+        intent_at: When a record of this process was last read back.
     """
 
     fencing: bool
@@ -80,7 +80,7 @@
 
 
 class OrderTracker:
-    """The orders of one group, as one candidate sees them."""
+    """The orders of one group of engines, as seen by one candidate."""
 
     def __init__(
         self,
@@ -89,12 +89,13 @@
         times: OrderTimes,
         new_id: Callable[[], str],
     ):
-        """Makes an empty book.
+        """Creates a tracker without engines.
 
         Args:
-            authority: The candidate's lease; the book feeds it.
-            times: The times of orders.
-            new_id: Makes unique ids of records and orders.
+            authority: The candidate's lease. The tracker passes on to it what
+                it reads from the stream.
+            times: The timing parameters.
+            new_id: Returns a unique id for a record or an order.
         """
         self._lease = authority
         self._times = times
@@ -113,7 +114,7 @@
 
     @property
     def fold(self) -> orderlog.OrderFold:
-        """What all readers agree on."""
+        """The state derived from the records, the same for all readers."""
         return self._fold
 
     @property
@@ -122,12 +123,12 @@
         return self._position.next_offset
 
     def set_engine(self, engine: str, *, fencing: bool) -> None:
-        """Adds an engine, or changes what is known of its checks."""
+        """Adds an engine or changes whether it checks fencing tokens."""
         known = self._engines.setdefault(engine, _Engine(fencing=fencing))
         known.fencing = fencing
 
     def remove_engine(self, engine: str) -> None:
-        """Forgets an engine that left the fleet."""
+        """Removes an engine that has left the fleet."""
         known = self._engines.pop(engine, None)
         if known is not None and known.append is not None:
             del self._append_engine[known.append.record_id]
@@ -135,7 +136,7 @@
     def observe(
         self, engine: str, seen: engineorder.EngineReport, now: float
     ) -> None:
-        """Takes an engine's report of itself."""
+        """Processes an engine's report of its own state."""
         known = self._engines.get(engine)
         if known is None:
             return
@@ -146,7 +147,7 @@
             )
 
     def apply_page(self, page: record.Page, now: float) -> None:
-        """Takes a page of the control stream, for the lease as well."""
+        """Processes a page of the control stream, also for the lease."""
         if self._position.open_page(page):
             self._fold.skip_to(self._position.origin)
         for item in page.records:
@@ -155,7 +156,7 @@
         self._lease.apply_page(attrs.evolve(page, records=()), now)
 
     def apply(self, item: record.Record, now: float) -> None:
-        """Takes one record of the control stream, for the lease as well."""
+        """Processes a record of the control stream, also for the lease."""
         arrival = self._position.advance(item.offset)
         if arrival is position.Arrival.REPEATED:
             return
@@ -170,11 +171,10 @@
             known.append, known.intent_at = None, now
 
     def placeable(self, engine: str) -> bool:
-        """Whether requests may be placed on an engine.
+        """Returns whether requests may be placed on an engine.
 
-        An engine that crashed partway through a change may be in either
-        state or none; it stays out until it is seen to serve and its order
-        is over.
+        An engine that crashed during a change may be in either state or
+        neither. It gets no requests until it is serving and its order ended.
         """
         known = self._engines.get(engine)
         return (
@@ -186,11 +186,12 @@
         )
 
     def draining_without_order(self) -> tuple[str, ...]:
-        """Returns engines that refuse work though no order waits for them.
+        """Returns engines that are draining without an unfinished order.
 
-        A holder that asked an engine to drain and lost its lease before the
-        order leaves it so. An order for what the engine is brings it back; it
-        is for the owner to tell those that the platform drains.
+        A holder that loses its lease between the drain request and the order
+        leaves an engine like this. An order for its current role and model
+        puts it back into service. The owner must exclude engines that the
+        platform is draining.
         """
         return tuple(
             name
@@ -204,11 +205,11 @@
     def propose(
         self, engine: str, wanted: orderlog.Wanted, now: float
     ) -> Result[record.Append, errors.OrderRefused]:
-        """Makes the intent of a new order.
+        """Creates the intent of a new order.
 
         Returns:
             The intent to append, which `due` repeats until it is read back,
-            or why there can be no order now.
+            or why no order can be made now.
         """
         known = self._engines.get(engine)
         if known is None:
@@ -221,13 +222,13 @@
             return Failure(errors.OrderRefused(reason="last holder may write"))
         if not self._has_fresh_report(known):
             return Failure(errors.OrderRefused(reason="engine not seen"))
-        # What the last order had to wait for does not hold this one back.
+        # The delay before a rewrite of the last order doesn't apply here.
         known.write_after = -math.inf
         order_id = self._new_id()
         return Success(self._add_intent(engine, order_id, wanted, now))
 
     def due(self, now: float) -> tuple[record.Append, ...]:
-        """Returns records to append; call it at each tick."""
+        """Returns the records to append; call it at each tick."""
         found = []
         for name, known in self._engines.items():
             append = self._find_due_append(name, known, now)
@@ -236,7 +237,7 @@
         return tuple(found)
 
     def append_failed(self, record_id: str) -> None:
-        """Notes that an append certainly did not take effect."""
+        """Records that an append is known not to have taken effect."""
         known = self._engines.get(self._append_engine.pop(record_id, ""))
         if known is not None:
             known.append = None
@@ -244,8 +245,8 @@
     def sendable(self, now: float) -> tuple[engineorder.Order, ...]:
         """Returns the orders to write now.
 
-        The owner opens a connection for each first, and asks `may_send` again
-        in the turn in which it writes.
+        The owner first opens a connection for each order, then calls
+        `may_send` again in the event-loop turn in which it writes.
         """
         orders = (
             engineorder.Order(
@@ -259,7 +260,7 @@
         return tuple(o for o in orders if self.may_send(o, now))
 
     def may_send(self, order: engineorder.Order, now: float) -> bool:
-        """Whether an order may be written in this very turn."""
+        """Returns whether an order may be written in this event-loop turn."""
         known = self._engines.get(order.engine)
         current = self._fold.unfinished.get(order.engine)
         if known is None or current is None or not self._lease.holds_lease(now):
@@ -273,9 +274,9 @@
         return known.fencing or now >= self._safe_write_time()
 
     def sent(self, order: engineorder.Order, now: float) -> None:
-        """Notes that an order's first byte is written in this turn.
+        """Records that an order's first byte is written in this turn.
 
-        Each call must be followed by one of `answered`, at the latest when
+        Each call must be followed by a call of `answered`, at the latest when
         the owner gives up and closes the connection.
         """
         known = self._engines.get(order.engine)
@@ -286,7 +287,7 @@
     def answered(
         self, order: engineorder.Order, reply: engineorder.Reply, now: float
     ) -> None:
-        """Notes how the write of an order ended."""
+        """Records how the write of an order ended."""
         known = self._engines.get(order.engine)
         if known is None:
             return
@@ -309,15 +310,14 @@
             return False
         if seen.order_id != order.order_id:
             return False
-        # The engine may have carried out what the last holder sent. Only a
-        # number of this term makes it refuse what that holder, paused in the
-        # middle of a write, still sends; so the order goes out again first.
+        # The engine may have carried out the last holder's order. It rejects
+        # late writes of that holder only after it has received a fencing
+        # token of this term, so the order is written again first.
         return not known.fencing or seen.number > order.term
 
     def _safe_write_time(self) -> float:
-        # An engine that ignores numbers would carry out what the last holder
-        # still has under way, when that was paused between its check and its
-        # write. Waiting longer than such a write can take is all there is.
+        # The last holder may have been paused between its check and its write.
+        # Without fencing, waiting until it can't arrive is the only protection.
         return self._held_since + self._times.pause_allowance_s
 
     def _find_due_append(
@@ -325,8 +325,8 @@
     ) -> record.Append | None:
         if known.append is not None:
             if known.append_term != self._lease.term:
-                # Written for a lost term: it has no effect behind the next
-                # claim, and was read by now if it stands before it.
+                # The record belongs to a lost term. It has no effect after
+                # the next claim, and has been read already if it precedes it.
                 self.append_failed(known.append.record_id)
             elif now >= known.append_at + self._times.retry_s:
                 known.append_at = now
@@ -346,9 +346,8 @@
         return None
 
     def _is_settled(self, known: _Engine, now: float) -> bool:
-        # A write whose answer was lost may still be under way. An engine that
-        # ignores numbers would carry it out after the next order; one that
-        # checks them refuses it then.
+        # A write whose answer was lost may still be in flight. It would take
+        # effect after the next order unless the engine checks fencing tokens.
         if known.open_writes:
             return False
         if known.fencing:
--- a/packages/bulrushgrade/bulrushgrade/orderlog.py
+++ b/packages/bulrushgrade/bulrushgrade/orderlog.py
@@ -1,8 +1,9 @@
-"""Records of orders to engines, and which orders are unfinished.
+"""Records of orders to engines, and the orders that are unfinished.
 
-On the stream ``control.GROUP``, beside the lease records, an `Intent` says
-what the holder is about to order of an engine, and an `Outcome` what the
-engine was then seen to be. An engine has at most one unfinished intent.
+These records share the stream ``control.GROUP`` with the lease records. An
+`Intent` announces an order that the holder is about to send to an engine, and
+an `Outcome` records the state that the engine reported afterwards. An engine
+has at most one unfinished intent.
 """
 
 import attrs
@@ -14,13 +15,13 @@
 
 @attrs.frozen(kw_only=True)
 class Wanted:
-    """What an engine is to be, or was seen to be.
+    """The role and model that an engine has been ordered to have or reports.
 
     Attributes:
-        role: Such as ``prefill``, ``decode`` or ``mixed``.
+        role: For example ``prefill``, ``decode`` or ``mixed``.
         model: The model's name.
         version: The model's version.
-        adapters: Names of the adapters, sorted.
+        adapters: The names of the adapters, sorted.
     """
 
     role: str
@@ -31,16 +32,18 @@
 
 @attrs.frozen(kw_only=True)
 class Intent:
-    """Announces an order; effective iff its term is current and it follows.
+    """Announces an order.
+
+    It is effective if and only if its term is current and no effective order
+    record of the engine lies after `after_offset`.
 
     Attributes:
         engine: The engine's address.
         order_id: The order's id; a new holder that adopts the order keeps it.
-        wanted: What is ordered.
+        wanted: The ordered role and model.
         term: The writer's term.
-        after_offset: The last record that its writer had read. An effective
-            record of this engine behind it, such as a first copy of this one,
-            leaves this one without effect.
+        after_offset: The offset of the last record that the writer had read.
+            It makes a duplicate of this record ineffective.
     """
 
     engine: str
@@ -52,13 +55,13 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """Ends an order; effective iff its term is current.
+    """Ends an order; effective if and only if its term is current.
 
     Attributes:
         engine: The engine's address.
         order_id: The order's id.
-        seen: What the engine was seen to be once it was through with the
-            order; not always what was wanted.
+        seen: What the engine reported once it had completed the order. It
+            may differ from what was ordered.
         term: The writer's term.
     """
 
@@ -73,15 +76,15 @@
 
 @attrs.frozen(kw_only=True)
 class Unfinished:
-    """An order whose outcome is not on the log.
+    """An order without an outcome on the log.
 
     Attributes:
         order_id: The order's id.
-        wanted: What is ordered.
+        wanted: The ordered role and model.
         term: The term of its last effective intent.
-        number: The offset of that intent. It is the fencing number of what is
-            sent, finer than the term: it also keeps a late copy of a holder's
-            earlier order from undoing that holder's later one.
+        number: The offset of that intent, which is the fencing token of the
+            order. Unlike the term, it also keeps a delayed copy of an order
+            from undoing a later order of the same holder.
     """
 
     order_id: str
@@ -91,13 +94,14 @@
 
 
 class OrderFold:
-    """Which orders are unfinished; every reader comes to the same result.
-
-    Past a trimmed gap an engine is not clear: its last order record may be
-    gone, so that a second copy can't be told from a first. The engine gets
-    clear with an intent whose writer had read up to the gap. Until then its
-    latest intent counts: a holder has one order at a time, and appends its
-    intent again long before it is trimmed.
+    """Determines which orders are unfinished.
+
+    Every reader arrives at the same result. After a gap of trimmed records an
+    engine's history is incomplete: its last order record may be in the gap,
+    so a duplicate can't be distinguished from the original. The history is
+    complete again with an intent whose writer had read up to the gap. Until
+    then the latest intent counts, since a holder has one order at a time and
+    appends its intent again long before it is trimmed.
     """
 
     def __init__(self):
@@ -108,23 +112,23 @@
 
     @property
     def unfinished(self) -> dict[str, Unfinished]:
-        """Unfinished orders by engine; not to be changed."""
+        """Unfinished orders by engine; callers must not modify it."""
         return self._unfinished
 
     def skip_to(self, origin: int) -> None:
-        """Notes that the records before `origin` were trimmed unread."""
+        """Handles a gap: records before `origin` were trimmed unread."""
         self._origin = origin
         self._last_offsets.clear()
         self._complete.clear()
         self._unfinished.clear()
 
     def apply(self, item: record.Record, term: int | None) -> None:
-        """Takes the next record of the stream.
+        """Processes the next record of the stream.
 
         Args:
             item: The record.
-            term: The term that is current at its offset, None where there is
-                none or it is not known.
+            term: The term that is current at the record's offset, or None if
+                there is none or it is unknown.
         """
         parsed = CODEC.parse(item.body)
         if isinstance(parsed, Failure):
--- a/packages/bulrushgrade/bulrushgrade/orderturn.py
+++ b/packages/bulrushgrade/bulrushgrade/orderturn.py
@@ -1,26 +1,26 @@
-"""Whose turn it is to order engines about, from records of one topic.
-
-Two hosts that order the same engine about within a lease's time may undo each
-other, and an engine need not check who is the newer. So each order is first
-appended to a topic, on the condition that the topic still ends where this
-host has read it. The record's offset is the order's number; it only grows,
-and no two orders have the same. A host may append only when a whole turn has
-passed since it saw the last record of another host, and sends the order only
-within a short time of its append. The turn is longer than both times of the
-other host together, so that two hosts' orders are always a lease apart.
-
-A host that is paused between append and sending finds, by a clock that runs
-through pauses, that its time has passed, and does not send.
+"""Mutual exclusion between hosts that send orders to the same engines.
+
+Two hosts that send orders to one engine within the lease time could undo each
+other's changes, and engines need not check which order is newer. Each order is
+therefore first appended to a topic, on condition that the topic still ends
+where this host has read it. The record's offset is the order's number, which
+is unique and increasing. A host may append only after a full turn has passed
+since it read the last record of another host, and it must send the order soon
+after its append. A turn is longer than the lease time plus the time allowed
+for sending, so orders of two hosts are always at least the lease time apart.
+
+A host that is paused between its append and sending the order detects this
+with a clock that keeps counting during pauses, and does not send the order.
 """
 
 import attrs
 
 SEND_WITHIN_S = 0.8
-"""How long after an append its order may still be sent."""
+"""How long after its append an order may still be sent, in seconds."""
 
 GUARD_S = 0.7
-"""Beside lease and sending time: for an order on its way and for clocks that
-run at unlike rates."""
+"""Margin for orders in flight and for differences between clocks' rates, in
+seconds, added to the lease time and the time allowed for sending."""
 
 
 @attrs.frozen(kw_only=True)
@@ -30,7 +30,7 @@
     Attributes:
         holder: The host's incarnation.
         engine: The engine's id.
-        stage: The role that it is to take.
+        stage: The role that the engine is ordered to take.
     """
 
     holder: str
@@ -39,14 +39,14 @@
 
 
 class OrderTurn:
-    """What one host knows of the topic of orders."""
+    """One host's view of the topic of orders."""
 
     def __init__(self, *, holder: str, lease_s: float):
-        """Makes the view of a host that has read nothing.
+        """Creates a view of a topic that has not been read yet.
 
         Args:
             holder: This host's incarnation.
-            lease_s: How far apart two hosts' orders have to be.
+            lease_s: Minimum time between the orders of two hosts.
         """
         self._holder = holder
         self._turn_s = lease_s + SEND_WITHIN_S + GUARD_S
@@ -60,30 +60,30 @@
 
     @property
     def end(self) -> int:
-        """Where the next record goes, as far as it is known."""
+        """The offset of the next record, as far as this host has read."""
         return self._end
 
     def apply(self, holder: str | None, offset: int, *, now: float) -> None:
-        """Takes a record.
+        """Processes a record.
 
         Args:
-            holder: Who wrote it; None where it can't be read, which counts
-                as another host.
-            offset: Its place in the topic.
-            now: The present time; a record counts from when it is seen.
+            holder: The incarnation that wrote it. None means that the record
+                could not be decoded; it counts as another host's.
+            offset: The record's offset in the topic.
+            now: The current time, from which the turn is counted.
         """
         self._end = max(self._end, offset + 1)
         if holder != self._holder:
             self._other_host_seen_at = now
 
     def skip_to(self, offset: int, *, now: float) -> None:
-        """Notes that records up to an offset were dropped unread."""
+        """Handles a gap: records before an offset were dropped unread."""
         if offset > self._end:
             self._end = offset
             self._other_host_seen_at = now
 
     def may_append(self, now: float) -> bool:
-        """Returns whether this host's turn has come."""
+        """Returns whether this host may append an order now."""
         seen_at = self._other_host_seen_at
         return seen_at is None or now - seen_at >= self._turn_s
 
@@ -92,6 +92,6 @@
 
         Args:
             appended_at: The time just before its append was sent.
-            now: The time in the turn in which the order is written.
+            now: The time in the event-loop turn that writes the order.
         """
         return now - appended_at <= SEND_WITHIN_S
--- a/packages/bulrushgrade/bulrushgrade/position.py
+++ b/packages/bulrushgrade/bulrushgrade/position.py
@@ -1,8 +1,9 @@
-"""How far one reader has read one stream, and what it has missed.
+"""A reader's position in a stream and the gaps it has encountered.
 
-The platform trims old records. A reader that was away for longer than the
-retention, or that starts on an old stream, finds the beginning gone. Folds
-must know this, since what was trimmed may decide what a later record means.
+The platform trims old records. A reader that was offline for longer than the
+retention period, or that starts on an old stream, can't read the beginning.
+Folds must know this, since a trimmed record may determine how a later one is
+to be interpreted.
 """
 
 import enum
@@ -13,7 +14,7 @@
 
 
 class Arrival(enum.Enum):
-    """How a record's offset stands to what was read before."""
+    """How a record's offset relates to the records read before."""
 
     REPEATED = "repeated"
     NEXT = "next"
@@ -22,14 +23,14 @@
 
 @attrs.define(kw_only=True)
 class Position:
-    """The place of one reader in one stream.
+    """A reader's position in one stream.
 
     Attributes:
         next_offset: The offset to read next.
-        origin: Everything from this offset to `next_offset` has been read;
-            above 0 the records before it were trimmed unread.
-        caught_up: True once a page reached the stream's end with no gap
-            since.
+        origin: All records from this offset up to `next_offset` have been
+            read. If it is above 0, the records before it were trimmed unread.
+        caught_up: Whether a page has reached the end of the stream without a
+            gap since then.
     """
 
     next_offset: int = 0
@@ -40,7 +41,7 @@
         """Starts a page.
 
         Returns:
-            Whether records were trimmed between the last page and this one.
+            Whether records after the last page were trimmed unread.
         """
         if page.earliest_offset <= self.next_offset:
             return False
@@ -48,7 +49,7 @@
         return True
 
     def advance(self, offset: int) -> Arrival:
-        """Notes that the record at an offset is being read."""
+        """Moves past the record at an offset, which is being read."""
         if offset < self.next_offset:
             return Arrival.REPEATED
         arrival = Arrival.NEXT
@@ -59,7 +60,7 @@
         return arrival
 
     def close_page(self, page: record.Page) -> None:
-        """Ends a page; the reader may have reached the stream's end."""
+        """Ends a page and checks whether it reached the end of the stream."""
         if self.next_offset >= page.end_offset:
             self.caught_up = True
 
--- a/packages/bulrushgrade/bulrushgrade/record.py
+++ b/packages/bulrushgrade/bulrushgrade/record.py
@@ -1,9 +1,9 @@
-"""Records of the platform's log service, as the library sees them.
+"""Records of the platform's log service.
 
-The total order of offsets within a stream is the only agreement in the
-system. Every record carries an id chosen by its writer: an append whose
-answer was lost is settled by reading the stream back and looking for the id,
-and a fold ignores the second copy of an id.
+The total order of offsets within a stream is the only form of consensus in the
+system. Every record has an id chosen by its writer. If the answer to an append
+is lost, the writer reads the stream and looks for the id to learn the outcome.
+A fold ignores a duplicate of an id.
 """
 
 import attrs
@@ -14,8 +14,8 @@
     """One record as read from a stream.
 
     Attributes:
-        offset: Its place in the stream's total order, counted from 0.
-        record_id: The writer's unique id for this record.
+        offset: The record's offset in the stream, counted from 0.
+        record_id: The unique id chosen by the writer.
         body: The serialized message.
     """
 
@@ -26,11 +26,11 @@
 
 @attrs.frozen(kw_only=True)
 class Append:
-    """A record that some part wants appended.
+    """A record to be appended to a stream.
 
     Attributes:
-        stream: The stream's name, such as ``documents``.
-        record_id: A unique id; the same id is kept when an append is retried.
+        stream: The stream's name, for example ``documents``.
+        record_id: A unique id, which stays the same when the append is retried.
         body: The serialized message.
     """
 
@@ -41,14 +41,13 @@
 
 @attrs.frozen(kw_only=True)
 class Page:
-    """An answer of the log service to one read.
+    """The log service's answer to one read.
 
     Attributes:
-        records: Records in order of offset.
-        next_offset: Where to read next.
-        earliest_offset: The oldest offset that is still retained; when it is
-            past the offset that was asked for, the stream has been trimmed
-            under the reader.
+        records: The records in order of offset.
+        next_offset: The offset to read next.
+        earliest_offset: The oldest offset that is still retained. If it is
+            above the requested offset, records were trimmed unread.
         end_offset: One past the newest record at the time of the read.
     """
 
--- a/packages/bulrushgrade/bulrushgrade/timer.py
+++ b/packages/bulrushgrade/bulrushgrade/timer.py
@@ -1,8 +1,8 @@
-"""A timer service that parts subscribe to.
+"""A timer service with one-shot and periodic callbacks.
 
-The service owns no clock: its owner calls `Timers.advance` with the present
-time, from a reactor in the daemon and by hand in a test. Times are seconds of
-a monotonic clock.
+The service owns no clock: its owner calls `Timers.advance` with the current
+time, from the reactor in the daemon and directly in tests. Times are seconds
+of a monotonic clock.
 """
 
 from collections.abc import Callable
@@ -14,12 +14,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Subscription:
-    """A callback that is due once or again and again.
+    """A one-shot or periodic callback.
 
     Attributes:
         callback: Called without arguments when due.
-        period_s: Seconds between two calls, or None for a single call.
-        active: False once cancelled or, for a single call, once called.
+        period_s: Seconds between two calls, or None for a one-shot callback.
+        active: False once cancelled or, if one-shot, once called.
     """
 
     callback: Callable[[], None]
@@ -27,12 +27,12 @@
     active: bool = True
 
     def cancel(self) -> None:
-        """Makes sure that the callback is not called any more."""
+        """Prevents any further call of the callback."""
         self.active = False
 
 
 class Timers:
-    """Keeps subscriptions in order of their due times."""
+    """Calls subscribed callbacks in the order of their due times."""
 
     def __init__(self, *, now: float = 0.0):
         self._now = now
@@ -46,7 +46,7 @@
 
     @property
     def next_due(self) -> float | None:
-        """When the next callback is due, or None where there is none."""
+        """When the next callback is due, or None if there is none."""
         while self._due and not self._due[0][2].active:
             heapq.heappop(self._due)
         return self._due[0][0] if self._due else None
@@ -54,7 +54,7 @@
     def every(
         self, period_s: float, callback: Callable[[], None]
     ) -> Subscription:
-        """Subscribes to a call every `period_s` seconds, first after one."""
+        """Schedules a call every `period_s` seconds, first after one period."""
         subscription = Subscription(callback=callback, period_s=period_s)
         self._push(self._now + period_s, subscription)
         return subscription
@@ -62,23 +62,23 @@
     def after(
         self, delay_s: float, callback: Callable[[], None]
     ) -> Subscription:
-        """Subscribes to a single call in `delay_s` seconds."""
+        """Schedules a single call in `delay_s` seconds."""
         subscription = Subscription(callback=callback, period_s=None)
         self._push(self._now + delay_s, subscription)
         return subscription
 
     def advance(self, now: float) -> int:
-        """Moves time on and calls whatever has come due, in order.
+        """Advances the time and calls all callbacks that are due, in order.
 
-        A periodic subscription whose owner was paused for many periods is
-        called once, not once a period: a burst of catch-up calls after a
-        pause would load the process just when it is behind.
+        If the process was paused for several periods, a periodic callback is
+        called once rather than once per period: a burst of catch-up calls
+        would load the process just when it is behind.
 
         Args:
-            now: The present time in seconds; earlier times are ignored.
+            now: The current time in seconds; earlier times are ignored.
 
         Returns:
-            How many callbacks were called.
+            The number of callbacks called.
         """
         self._now = max(now, self._now)
         called = 0
--- a/packages/bulrushgrade/bulrushgrade/wallclock.py
+++ b/packages/bulrushgrade/bulrushgrade/wallclock.py
@@ -1,37 +1,37 @@
-"""True time from a clock that may be set and one that only runs.
+"""Wall-clock time that tolerates temporary steps of the system clock.
 
-The time of day may be set forward or back for a while. What it is ahead of
-the steady clock stays the same otherwise, so the median of what was seen
-lately is right as long as a step lasts for less than half of that time.
+The system clock may be set forward or back for a while. Otherwise its offset
+from the monotonic clock is constant, so the median of recent offsets is right
+as long as a step lasts for less than half of the sampled period.
 """
 
 import collections
 import statistics
 
 SAMPLES = 121
-"""Differences that are kept; odd, so that the median is one of them."""
+"""Number of offsets kept; odd, so that the median is one of them."""
 
 
 class WallClock:
-    """What a steady clock has to be put forward by to tell the time."""
+    """Converts readings of the monotonic clock to wall-clock time."""
 
     def __init__(self):
-        """Makes a clock that was never compared."""
+        """Creates a clock without samples, whose offset is 0."""
         self._offsets_s: collections.deque[float] = collections.deque(
             maxlen=SAMPLES
         )
         self._median_offset_s = 0.0
 
     def add_sample(self, time_of_day_s: float, monotonic_s: float) -> None:
-        """Takes both clocks as they are at the same moment.
+        """Adds a sample of both clocks, read at the same moment.
 
         Args:
-            time_of_day_s: Seconds since 1970.
-            monotonic_s: Seconds of the steady clock.
+            time_of_day_s: The system clock, in seconds since 1970.
+            monotonic_s: The monotonic clock, in seconds.
         """
         self._offsets_s.append(time_of_day_s - monotonic_s)
         self._median_offset_s = statistics.median_low(self._offsets_s)
 
     def time_at(self, monotonic_s: float) -> float:
-        """Returns the seconds since 1970 at a moment of the steady clock."""
+        """Returns a reading of the monotonic clock as seconds since 1970."""
         return monotonic_s + self._median_offset_s
--- a/packages/bulrushgrade/tests/test_authority.py
+++ b/packages/bulrushgrade/tests/test_authority.py
@@ -1,8 +1,9 @@
-"""State machines of leases and orders over a log with faults.
+"""State-machine tests of leases and orders over a faulty log.
 
-Every process has a clock of its own rate, reads late, loses answers, is
-paused and killed; appends fail, land late or twice; records are trimmed. The
-model knows the true time and the untrimmed log, and judges by these.
+Each process has a clock with its own rate, reads late, loses answers, is
+paused and killed. Appends fail, are delayed or are duplicated, and records are
+trimmed. The test checks invariants against the simulated time and a log that
+is never trimmed.
 """
 
 import itertools
@@ -18,16 +19,16 @@
 from bulrushgrade import order
 from bulrushgrade import orderlog
 
-# Next to no stagger, so that the guard alone keeps two holders apart.
+# Almost no stagger, so that only the guard prevents two holders at once.
 LEASE_TIMES = lease.LeaseTimes(stagger_s=0.01)
-# Short times, so that a run passes all of them. The allowance outlasts the
-# engines' read timeout by the difference of the clocks' rates.
+# Short times, so that a run exceeds all of them. The pause allowance exceeds
+# the engines' read timeout by the difference between the clocks' rates.
 ORDER_TIMES = order.OrderTimes(
     pause_allowance_s=12.0, change_limit_s=6.0, refresh_s=10.0
 )
 READ_TIMEOUT_S = 11.0
 RETENTION_S = 40.0
-# The largest difference that the guard has to cover, less a hair.
+# Just below the largest rate difference that the guard has to cover.
 RATE_ERROR = LEASE_TIMES.guard_s / LEASE_TIMES.ttl_s - 0.001
 ROLES = [
     orderlog.Wanted(role=role, model="m", version="1")
@@ -43,7 +44,7 @@
 
 
 class ReferenceLog(fakelog.FaultyLog):
-    """A log that folds all that was ever stored."""
+    """A log that folds every stored record, including trimmed ones."""
 
     def __init__(self):
         super().__init__()
@@ -60,7 +61,7 @@
 
 
 class AuthorityMachine(stateful.RuleBasedStateMachine):
-    """Leases: one acting holder at most, and no wrong term believed."""
+    """Leases: at most one valid holder, and no reader has a wrong term."""
 
     @stateful.initialize(rates=st.tuples(RATES, RATES, RATES))
     def start(self, rates):
@@ -210,11 +211,11 @@
 
 
 class OrderMachine(AuthorityMachine):
-    """Orders: engines take none but the one that the log calls unfinished.
+    """Orders: engines accept only the order that is unfinished on the log.
 
-    Trimming is by age here: an unfinished order is appended again well within
-    the retention. Only where nobody held the group for all that time may it
-    be trimmed; fresh readers then go by what the engine is seen to be.
+    Records are trimmed by age. An unfinished order is appended again well
+    within the retention period, so it is trimmed only if there was no holder
+    for all of that time. New readers then rely on the engine's report.
     """
 
     @stateful.initialize(rates=st.tuples(RATES, RATES, RATES))
--- a/packages/bulrushgrade/tests/test_kernel.py
+++ b/packages/bulrushgrade/tests/test_kernel.py
@@ -1,4 +1,4 @@
-"""Tests of the micro-kernel."""
+"""Tests of the microkernel."""
 
 import asyncio
 
--- a/packages/bulrushgrade/tests/test_lease.py
+++ b/packages/bulrushgrade/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of one candidate's lease, against a model of the log."""
+"""Tests of one candidate's lease with a fake log."""
 
 from bulrushgrade import fakeholder
 from bulrushgrade import fakelog
@@ -39,8 +39,8 @@
 
 
 def test_resumed_holder_does_not_act():
-    # Two daemons steer one group: A is stopped for several TTLs, B takes
-    # over, A wakes and still believes it holds the lease.
+    # A is paused for several TTLs and B takes over. When A resumes, it is
+    # still in the holding phase, but its lease has expired.
     log, a, b = _candidates()
     a.step(0.0)
     for now in (0.0, 30.0):
@@ -53,8 +53,8 @@
 
 
 def test_claim_whose_answer_was_lost_counts_from_before_it_was_sent():
-    # The log takes A's claim but the answer is lost, and A reads it back only
-    # when the time it asked for is all but over.
+    # The log stores A's claim but the answer is lost, and A reads the claim
+    # back only shortly before the lease expires.
     log, a, _ = _candidates()
     a.read(0.0)
     (append,) = a.lease.tick(0.0)
@@ -96,8 +96,8 @@
 
 
 def test_group_whose_records_were_all_trimmed_is_claimed_again():
-    # All hosts are replaced after a night without the log; every lease record
-    # is trimmed. Without a way to claim, nobody would ever hold the group.
+    # All hosts are replaced after a long outage of the log and every lease
+    # record is trimmed. The group must not be left without a holder.
     log, old, a = _candidates()
     old.step(0.0)
     log.trim(STREAM, 1)
@@ -110,8 +110,8 @@
 
 
 def test_candidate_past_a_gap_waits_from_the_last_undecided_renewal():
-    # A's claim is trimmed under B, which joins late and can't judge A's next
-    # renewal. A is cut off from the log right after it, and still acts.
+    # A's claim is trimmed before B joins, so B can't evaluate A's next
+    # renewal. A loses the log right after it, but its lease is still valid.
     log, a, b = _candidates()
     a.step(0.0)
     log.trim(STREAM, 1)
@@ -127,8 +127,8 @@
 
 
 def test_reader_that_missed_trimmed_records_waits_the_whole_lease():
-    # B is stopped while A claims and renews, and all of it is trimmed before
-    # B reads again. For B the stream has been quiet all along.
+    # B is paused while A claims and renews, and all these records are trimmed
+    # before B reads again, so B has not seen any lease record.
     log, a, b = _candidates()
     b.read(0.0)
     for now in (0.0, 2.0, 4.0, 6.0, 8.0):
--- a/packages/bulrushgrade/tests/test_leaselog.py
+++ b/packages/bulrushgrade/tests/test_leaselog.py
@@ -7,7 +7,7 @@
 
 
 def _fold(messages, *, start=0):
-    """Folds messages that stand at offsets from `start`."""
+    """Folds messages at consecutive offsets from `start`."""
     fold = leaselog.LeaseFold()
     if start:
         fold.skip_to(start)
@@ -65,8 +65,8 @@
 
 
 def test_fresh_reader_does_not_accept_a_lone_renewal():
-    # A host joins while the log has just trimmed B's claim, and the first
-    # thing it reads is the late renewal of A, which B had superseded.
+    # A host joins just after B's claim was trimmed. The first record that it
+    # reads is a delayed renewal of A, whose term B had superseded.
     late = _renew(0, 0)
     assert not _fold([late], start=9).is_term_known
     assert not _fold([late, late], start=9).is_term_known
--- a/packages/bulrushgrade/tests/test_once.py
+++ b/packages/bulrushgrade/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Tests of once-only requests, against a model of the log."""
+"""Tests of once-only requests with a fake log."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 
 
 class Daemon:
-    """A daemon's use of one shard."""
+    """A daemon that uses one shard."""
 
     def __init__(self, *, log, name, limits=LIMITS):
         ids = itertools.count()
@@ -107,8 +107,8 @@
 
 
 def test_winner_that_was_paused_does_not_start():
-    # A wins the claim and is stopped; its key is forgotten everywhere and a
-    # retry of the booking runs through B. A wakes and finds that it has won.
+    # A's claim is effective and A is paused. The key expires everywhere and a
+    # retry runs through B. When A resumes, it must not start its request.
     a, b = _two()
     claim_id = a.claim()
     b.read(0.0)
@@ -119,8 +119,8 @@
 
 
 def test_start_limit_counts_from_before_the_claim_was_sent():
-    # The claim's answer is lost and the daemon reads it back late, when
-    # others may have given its runner up.
+    # The answer to the claim's append is lost and the daemon reads the claim
+    # back late, when others may already treat its outcome as unknown.
     a, _ = _two()
     claim = a.once.claim(key="k", digest="d", now=0.0).unwrap()
     a.log.append(claim)
@@ -179,8 +179,8 @@
 
 
 def test_a_claim_without_effect_keeps_its_key_remembered():
-    # A lets a claim run that B ignored, since B still remembered an older
-    # one. B must not forget the key while A's claim may run.
+    # A runs a claim that B ignored because B still knew an older one. The key
+    # must not expire for B while A's claim may be running.
     a, b = _two()
     a.claim(now=0.0)
     b.read(0.0)
--- a/packages/bulrushgrade/tests/test_once_faults.py
+++ b/packages/bulrushgrade/tests/test_once_faults.py
@@ -1,8 +1,8 @@
-"""A state machine of once-only requests over a log with faults.
+"""State-machine test of once-only requests over a faulty log.
 
 Daemons read late, lose answers, are paused between the permission to start
-and the write, and are killed; appends fail, land late or twice; old records
-are trimmed. The model's endpoint counts what it ran.
+and the write, and are killed. Appends fail, are delayed or are duplicated, and
+old records are trimmed. The simulated endpoint records each run.
 """
 
 import collections
@@ -19,7 +19,7 @@
 from bulrushgrade import oncedecision
 from bulrushgrade import oncelog
 
-# Times near each other, so that a run of the machine passes all of them.
+# Limits close to each other, so that a run of the machine exceeds them all.
 LIMITS = oncelog.OnceLimits(
     start_limit_s=4.0, run_limit_s=16.0, key_life_s=60.0, retention_s=200.0
 )
@@ -35,7 +35,7 @@
 
 @attrs.define(kw_only=True)
 class Request:
-    """A request on its way through one daemon."""
+    """A request that one daemon is handling."""
 
     key: str
     claim_id: str
@@ -43,7 +43,7 @@
 
 
 class SimulatedLog(fakelog.FaultyLog):
-    """True time, the log, and what the endpoint ran."""
+    """The simulated time, the log and the runs of the endpoint."""
 
     def __init__(self):
         super().__init__()
@@ -63,7 +63,8 @@
     def store_delayed(self):
         sent_at, append = self.in_flight[0]
         message = oncelog.CODEC.parse(append.body).unwrap()
-        # Claims may be under way for any time, outcomes for half a life.
+        # Claims may be in flight for any time, outcomes for at most half of a
+        # key's lifetime.
         late = self.now - sent_at > LIMITS.key_life_s / 2
         if late and isinstance(message, oncelog.Done):
             self.drop_next()
@@ -71,9 +72,10 @@
             self.store_next(self.now)
 
     def run(self, key):
-        """The endpoint runs a key; within a key's life it does so once."""
+        """Runs a key at the endpoint, at most once per key lifetime."""
         last = self.runs[key][-1] if self.runs[key] else -1e9
-        # Half a life is below what any daemon's clock makes of it.
+        # Half of the lifetime is shorter than the lifetime by any daemon's
+        # clock.
         assert self.now - last > LIMITS.key_life_s / 2, "the key ran twice"
         self.runs[key].append(self.now)
         body = f"{key} {len(self.runs[key])}".encode()
@@ -81,7 +83,7 @@
 
 
 class Daemon:
-    """One daemon, with a clock of its own."""
+    """One daemon with its own clock."""
 
     serial = itertools.count()
 
@@ -108,7 +110,7 @@
         self.once.apply_page(page, self.clock)
 
     def accept(self, key, delivery):
-        """A caller sends, or repeats, the request with a key."""
+        """Handles a new or repeated request with a key from a caller."""
         claimed = self.once.claim(key=key, digest=key, now=self.clock)
         if isinstance(claimed, Success):
             append = claimed.unwrap()
@@ -118,7 +120,7 @@
         return claimed
 
     def serve(self, delivery, write_fault):
-        """Moves each request on by one step."""
+        """Advances each request by one step."""
         for request in list(self.requests):
             decision = self.once.decide(
                 key=request.key,
@@ -160,7 +162,7 @@
 
 
 class OnceMachine(stateful.RuleBasedStateMachine):
-    """A key runs at most once, and a second answer equals the first."""
+    """A key runs at most once, and duplicates get the same answer."""
 
     @stateful.initialize(rates=st.tuples(RATES, RATES, RATES))
     def start(self, rates):
@@ -250,7 +252,7 @@
 
     @stateful.rule()
     def wake_everywhere(self):
-        # The endpoint closes a connection on which nothing came for 10 s.
+        # The endpoint closes a connection that is idle for 10 s.
         for which, daemon in enumerate(self.daemons):
             paused_s = self.log.now - self.paused_at.get(which, -1e9)
             daemon.wake(in_time=paused_s < 10.0)
--- a/packages/bulrushgrade/tests/test_order.py
+++ b/packages/bulrushgrade/tests/test_order.py
@@ -1,4 +1,4 @@
-"""Tests of what a holder may order, and when."""
+"""Tests of the orders that a holder may make and write."""
 
 from returns.result import Failure
 
@@ -68,8 +68,8 @@
 
 
 def test_engine_that_crashed_gets_its_order_again():
-    # The engine takes the order, crashes halfway and comes back as it was.
-    # Left alone it would stay out of placement for good.
+    # The engine accepts the order, crashes during the change and restarts in
+    # its old state. Without another write it would never be placeable again.
     a, _, engine, _ = _group()
     a.propose("e", PREFILL, 0.0)
     a.write(0.0)
@@ -82,8 +82,8 @@
 
 
 def test_new_holder_adopts_the_unfinished_order():
-    # A dies between its intent and its order. B takes over; the engine may
-    # still get A's order, so B sends the same one, and only then another.
+    # A dies between its intent and the write of its order. The engine may
+    # still receive A's order, so B sends the same one before any other.
     a, b, _, _ = _group()
     a.propose("e", PREFILL, 0.0)
     for now in (1.0, 7.5):
@@ -97,8 +97,8 @@
 
 
 def test_adopted_order_is_sent_to_an_engine_that_completed_it():
-    # A's order was carried out, A died before its outcome. Until the engine
-    # has taken B's number, it would take more of what A had under way.
+    # The engine carried out A's order, but A died before the outcome. Until
+    # the engine accepts B's fencing token, it would accept A's late writes.
     a, b, engine, _ = _group()
     a.propose("e", PREFILL, 0.0)
     old = a.write(0.0)
@@ -164,8 +164,8 @@
 
 
 def test_pause_allowance_protects_an_unfenced_engine():
-    # A passes its check in the last moment of its lease and is stopped before
-    # the write. The write does harm only behind B's first other order.
+    # A checks its lease just before it expires and is paused before the write.
+    # That write is harmful only after B's first order of another kind.
     a, b, _, _ = _group(fencing=False, change_s=0.0)
     _step_until(a, 30)
     a.propose("e", PREFILL, 30.0)
@@ -185,8 +185,8 @@
 
 
 def test_engine_left_draining_by_a_lost_holder_is_found():
-    # A asks the engine to drain and loses its lease before the order. Nobody
-    # else would think of the engine, and it would stay empty for good.
+    # A asks the engine to drain and loses its lease before the order. The
+    # engine would stay drained forever if the next holder didn't detect it.
     a, _, _, _ = _group()
     assert a.order_tracker.draining_without_order() == ()
     draining = engineorder.EngineReport(
--- a/packages/bulrushgrade/tests/test_orderturn.py
+++ b/packages/bulrushgrade/tests/test_orderturn.py
@@ -1,4 +1,4 @@
-"""Tests of whose turn it is to order engines about."""
+"""Tests of mutual exclusion between hosts that send orders."""
 
 import hypothesis
 from hypothesis import stateful
@@ -26,10 +26,11 @@
 
 
 def test_another_hosts_record_delays_an_append_from_when_it_is_read():
-    """A host starts and finds an order of unknown age in the topic.
+    """Guards against orders of two hosts within the lease time.
 
-    Counted from its writing, by clocks that can't be compared, the two hosts'
-    orders might come within a lease.
+    A host that starts finds an order of unknown age in the topic. It must
+    count from when it reads the order: it can't compare its clock with the
+    writer's.
     """
     turn = make()
     turn.apply("b", 7, now=10.0)
@@ -52,18 +53,19 @@
 
 
 def test_paused_host_does_not_send():
-    """A host is paused between its append and the write of its order.
+    """Guards against a late order of a host that was paused after its append.
 
-    By the time it wakes another host may have ordered the engine about.
+    When it resumes, another host may have sent an order to the engine.
     """
     assert make().may_send(0.0, orderturn.SEND_WITHIN_S)
     assert not make().may_send(10.0, 10.1 + orderturn.SEND_WITHIN_S)
 
 
 class TurnMachine(stateful.RuleBasedStateMachine):
-    """Hosts read, append and send at any time, with pauses between.
+    """Hosts read, append and send at any time, with pauses in between.
 
-    Orders of two hosts must be a lease apart, numbers must grow.
+    Orders of two hosts must be at least the lease time apart, and the orders'
+    numbers must increase.
     """
 
     def __init__(self):
--- a/packages/bulrushgrade/tests/test_position.py
+++ b/packages/bulrushgrade/tests/test_position.py
@@ -1,4 +1,4 @@
-"""Tests of a reader's place in a stream."""
+"""Tests of a reader's position in a stream."""
 
 from bulrushgrade import position
 from bulrushgrade import record
--- a/packages/bulrushgrade/tests/test_wallclock.py
+++ b/packages/bulrushgrade/tests/test_wallclock.py
@@ -1,4 +1,4 @@
-"""Tests of telling the time by a clock that may be set."""
+"""Tests of wall-clock time under steps of the system clock."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -25,7 +25,7 @@
     lasts=st.integers(1, wallclock.SAMPLES // 2),
 )
 def test_temporary_step_of_the_clock_is_ignored(step_s, begins, lasts):
-    """Guards against requests counted in windows that have long passed."""
+    """Guards against usage being counted in windows long past."""
     clock = wallclock.WallClock()
     add_samples(clock, range(begins), offset_s=0.0)
     for second in range(begins, begins + lasts):
