--- a/packages/bulrushgrade/bulrushgrade/fakeholder.py
+++ b/packages/bulrushgrade/bulrushgrade/fakeholder.py
@@ -113,10 +113,10 @@
         delivery: fakelog.Delivery = fakelog.Delivery.STORED,
     ) -> bool:
         """Appends an intent; returns whether one could be made."""
-        made = self.order_tracker.propose(engine, wanted, self.clock(now))
-        made.map(lambda append: self.append(append, delivery, now))
+        proposed = self.order_tracker.propose(engine, wanted, self.clock(now))
+        proposed.map(lambda append: self.append(append, delivery, now))
         self.read(now)
-        return made.value_or(None) is not None
+        return proposed.value_or(None) is not None
 
     def append(
         self, append: record.Append, delivery: fakelog.Delivery, now: float
--- a/packages/bulrushgrade/bulrushgrade/leaselog.py
+++ b/packages/bulrushgrade/bulrushgrade/leaselog.py
@@ -204,8 +204,8 @@
             self._undecided = []
             return (entry,)
         self._add_undecided(entry)
-        for index, known in enumerate(self._undecided):
-            if known.offset == message.after_offset:
+        for index, undecided in enumerate(self._undecided):
+            if undecided.offset == message.after_offset:
                 return self._replay_from(index)
         return ()
 
--- a/packages/bulrushgrade/bulrushgrade/order.py
+++ b/packages/bulrushgrade/bulrushgrade/order.py
@@ -124,26 +124,26 @@
 
     def set_engine(self, engine: str, *, fencing: bool) -> None:
         """Adds an engine or changes whether it checks fencing tokens."""
-        known = self._engines.setdefault(engine, _Engine(fencing=fencing))
-        known.fencing = fencing
+        state = self._engines.setdefault(engine, _Engine(fencing=fencing))
+        state.fencing = fencing
 
     def remove_engine(self, engine: str) -> None:
         """Removes an engine that has left the fleet."""
-        known = self._engines.pop(engine, None)
-        if known is not None and known.append is not None:
-            del self._append_engine[known.append.record_id]
+        state = self._engines.pop(engine, None)
+        if state is not None and state.append is not None:
+            del self._append_engine[state.append.record_id]
 
     def observe(
         self, engine: str, seen: engineorder.EngineReport, now: float
     ) -> None:
         """Processes an engine's report of its own state."""
-        known = self._engines.get(engine)
-        if known is None:
+        state = self._engines.get(engine)
+        if state is None:
             return
-        known.seen, known.seen_at = seen, now
+        state.seen, state.seen_at = seen, now
         if seen.state == "down":
-            known.write_after = min(
-                known.write_after, now + self._times.resend_s
+            state.write_after = min(
+                state.write_after, now + self._times.resend_s
             )
 
     def apply_page(self, page: record.Page, now: float) -> None:
@@ -166,9 +166,9 @@
         if self._lease.term != self._held_term:
             self._held_term, self._held_since = self._lease.term, now
         self._fold.apply(item, self._lease.fold.term)
-        known = self._engines.get(self._append_engine.pop(item.record_id, ""))
-        if known is not None:
-            known.append, known.intent_at = None, now
+        state = self._engines.get(self._append_engine.pop(item.record_id, ""))
+        if state is not None:
+            state.append, state.intent_at = None, now
 
     def placeable(self, engine: str) -> bool:
         """Returns whether requests may be placed on an engine.
@@ -176,13 +176,13 @@
         An engine that crashed during a change may be in either state or
         neither. It gets no requests until it is serving and its order ended.
         """
-        known = self._engines.get(engine)
+        state = self._engines.get(engine)
         return (
-            known is not None
-            and known.seen is not None
-            and known.seen.state == "serving"
+            state is not None
+            and state.seen is not None
+            and state.seen.state == "serving"
             and engine not in self._fold.unfinished
-            and known.append is None
+            and state.append is None
         )
 
     def draining_without_order(self) -> tuple[str, ...]:
@@ -195,10 +195,10 @@
         """
         return tuple(
             name
-            for name, known in self._engines.items()
-            if known.seen is not None
-            and known.seen.state == "draining"
-            and known.append is None
+            for name, state in self._engines.items()
+            if state.seen is not None
+            and state.seen.state == "draining"
+            and state.append is None
             and name not in self._fold.unfinished
         )
 
@@ -211,36 +211,36 @@
             The intent to append, which `due` repeats until it is read back,
             or why no order can be made now.
         """
-        known = self._engines.get(engine)
-        if known is None:
+        state = self._engines.get(engine)
+        if state is None:
             return Failure(errors.OrderRefused(reason="unknown engine"))
         if not self._lease.holds_lease(now):
             return Failure(errors.OrderRefused(reason="not the holder"))
-        if engine in self._fold.unfinished or known.append is not None:
+        if engine in self._fold.unfinished or state.append is not None:
             return Failure(errors.OrderRefused(reason="order unfinished"))
-        if not known.fencing and now < self._safe_write_time():
+        if not state.fencing and now < self._safe_write_time():
             return Failure(errors.OrderRefused(reason="last holder may write"))
-        if not self._has_fresh_report(known):
+        if not self._has_fresh_report(state):
             return Failure(errors.OrderRefused(reason="engine not seen"))
         # The delay before a rewrite of the last order doesn't apply here.
-        known.write_after = -math.inf
+        state.write_after = -math.inf
         order_id = self._new_id()
         return Success(self._add_intent(engine, order_id, wanted, now))
 
     def due(self, now: float) -> tuple[record.Append, ...]:
         """Returns the records to append; call it at each tick."""
         found = []
-        for name, known in self._engines.items():
-            append = self._find_due_append(name, known, now)
+        for name, state in self._engines.items():
+            append = self._find_due_append(name, state, now)
             if append is not None:
                 found.append(append)
         return tuple(found)
 
     def append_failed(self, record_id: str) -> None:
         """Records that an append is known not to have taken effect."""
-        known = self._engines.get(self._append_engine.pop(record_id, ""))
-        if known is not None:
-            known.append = None
+        state = self._engines.get(self._append_engine.pop(record_id, ""))
+        if state is not None:
+            state.append = None
 
     def sendable(self, now: float) -> tuple[engineorder.Order, ...]:
         """Returns the orders to write now.
@@ -261,17 +261,17 @@
 
     def may_send(self, order: engineorder.Order, now: float) -> bool:
         """Returns whether an order may be written in this event-loop turn."""
-        known = self._engines.get(order.engine)
+        state = self._engines.get(order.engine)
         current = self._fold.unfinished.get(order.engine)
-        if known is None or current is None or not self._lease.holds_lease(now):
+        if state is None or current is None or not self._lease.holds_lease(now):
             return False
         if current.number != order.number or current.term != self._lease.term:
             return False
-        if self._is_done(known, current):
+        if self._is_done(state, current):
             return False
-        if known.open_writes or now < known.write_after:
+        if state.open_writes or now < state.write_after:
             return False
-        return known.fencing or now >= self._safe_write_time()
+        return state.fencing or now >= self._safe_write_time()
 
     def sent(self, order: engineorder.Order, now: float) -> None:
         """Records that an order's first byte is written in this turn.
@@ -279,33 +279,33 @@
         Each call must be followed by a call of `answered`, at the latest when
         the owner gives up and closes the connection.
         """
-        known = self._engines.get(order.engine)
-        if known is not None:
-            known.open_writes += 1
-            known.write_after = now + self._times.resend_s
+        state = self._engines.get(order.engine)
+        if state is not None:
+            state.open_writes += 1
+            state.write_after = now + self._times.resend_s
 
     def answered(
         self, order: engineorder.Order, reply: engineorder.Reply, now: float
     ) -> None:
         """Records how the write of an order ended."""
-        known = self._engines.get(order.engine)
-        if known is None:
+        state = self._engines.get(order.engine)
+        if state is None:
             return
-        known.open_writes = max(0, known.open_writes - 1)
+        state.open_writes = max(0, state.open_writes - 1)
         if reply is engineorder.Reply.LOST:
-            known.lost_at = now
+            state.lost_at = now
         elif reply is engineorder.Reply.ACCEPTED:
-            known.write_after = now + self._times.change_limit_s
+            state.write_after = now + self._times.change_limit_s
 
-    def _has_fresh_report(self, known: _Engine) -> bool:
+    def _has_fresh_report(self, state: _Engine) -> bool:
         return (
-            known.seen is not None
-            and known.seen.state in ("serving", "draining")
-            and known.seen_at >= self._held_since
+            state.seen is not None
+            and state.seen.state in ("serving", "draining")
+            and state.seen_at >= self._held_since
         )
 
-    def _is_done(self, known: _Engine, order: orderlog.Unfinished) -> bool:
-        seen = known.seen
+    def _is_done(self, state: _Engine, order: orderlog.Unfinished) -> bool:
+        seen = state.seen
         if seen is None or seen.state != "serving":
             return False
         if seen.order_id != order.order_id:
@@ -313,7 +313,7 @@
         # The engine may have carried out the last holder's order. It rejects
         # late writes of that holder only after it has received a fencing
         # token of this term, so the order is written again first.
-        return not known.fencing or seen.number > order.term
+        return not state.fencing or seen.number > order.term
 
     def _safe_write_time(self) -> float:
         # The last holder may have been paused between its check and its write.
@@ -321,38 +321,38 @@
         return self._held_since + self._times.pause_allowance_s
 
     def _find_due_append(
-        self, name: str, known: _Engine, now: float
+        self, name: str, state: _Engine, now: float
     ) -> record.Append | None:
-        if known.append is not None:
-            if known.append_term != self._lease.term:
+        if state.append is not None:
+            if state.append_term != self._lease.term:
                 # The record belongs to a lost term. It has no effect after
                 # the next claim, and has been read already if it precedes it.
-                self.append_failed(known.append.record_id)
-            elif now >= known.append_at + self._times.retry_s:
-                known.append_at = now
-                return known.append
+                self.append_failed(state.append.record_id)
+            elif now >= state.append_at + self._times.retry_s:
+                state.append_at = now
+                return state.append
             return None
         order = self._fold.unfinished.get(name)
         if order is None or not self._lease.holds_lease(now):
             return None
         if order.term != self._lease.term or (
-            now >= known.intent_at + self._times.refresh_s
+            now >= state.intent_at + self._times.refresh_s
         ):
             return self._add_intent(name, order.order_id, order.wanted, now)
-        if self._is_done(known, order) and self._is_settled(known, now):
+        if self._is_done(state, order) and self._is_settled(state, now):
             return self._add_outcome(
-                name, order.order_id, known.seen.current, now
+                name, order.order_id, state.seen.current, now
             )
         return None
 
-    def _is_settled(self, known: _Engine, now: float) -> bool:
+    def _is_settled(self, state: _Engine, now: float) -> bool:
         # A write whose answer was lost may still be in flight. It would take
         # effect after the next order unless the engine checks fencing tokens.
-        if known.open_writes:
+        if state.open_writes:
             return False
-        if known.fencing:
+        if state.fencing:
             return True
-        lost_until = known.lost_at + self._times.pause_allowance_s
+        lost_until = state.lost_at + self._times.pause_allowance_s
         return now >= max(lost_until, self._safe_write_time())
 
     def _add_intent(
@@ -388,12 +388,12 @@
         message: orderlog.Intent | orderlog.Outcome,
         now: float,
     ) -> record.Append:
-        known = self._engines[engine]
-        known.append = record.Append(
+        state = self._engines[engine]
+        state.append = record.Append(
             stream=self._lease.stream,
             record_id=self._new_id(),
             body=orderlog.CODEC.serialize(message),
         )
-        known.append_term, known.append_at = message.term, now
-        self._append_engine[known.append.record_id] = engine
-        return known.append
+        state.append_term, state.append_at = message.term, now
+        self._append_engine[state.append.record_id] = engine
+        return state.append
