--- a/packages/bulrushgrade/bulrushgrade/admission.py
+++ b/packages/bulrushgrade/bulrushgrade/admission.py
@@ -33,7 +33,7 @@
 """Seconds of a queue's life that the expected rate counts for."""
 
 
-Judge = Callable[[lane.Waiting, float, float], float]
+LatenessPredictor = Callable[[lane.QueuedWork, float, float], float]
 """Returns by how much work with a predicted wait would be late by now."""
 
 WAIT_PART = 0.7
@@ -125,7 +125,7 @@
     return start
 
 
-def late_by_s(
+def lateness_s(
     item: work.Work, first_token_s: float, finish_s: float, now: float
 ) -> float:
     """Returns by how much predicted times miss the work's deadlines.
@@ -161,7 +161,9 @@
     return min(wait, MAX_RETRY_AFTER_S)
 
 
-def by_prediction(item: lane.Waiting, wait_s: float, now: float) -> float:
+def predicted_lateness_s(
+    item: lane.QueuedWork, wait_s: float, now: float
+) -> float:
     """Judges an admission by the predicted completion.
 
     Returns:
--- a/packages/bulrushgrade/bulrushgrade/answer.py
+++ b/packages/bulrushgrade/bulrushgrade/answer.py
@@ -11,7 +11,7 @@
 import attrs
 
 
-class Step(enum.Enum):
+class EventAction(enum.Enum):
     """What to do with one event of a stream."""
 
     DELIVER = "deliver"
@@ -28,14 +28,14 @@
         finished: Whether the event with the reason for finishing was seen.
         ended: Whether the end marker was seen after that.
         duplicates: Events dropped because their token was delivered before.
-        strays: Events dropped because they belong to another attempt.
+        foreign_events: Events dropped because they belong to another attempt.
     """
 
     tokens: int = 0
     finished: bool = False
     ended: bool = False
     duplicates: int = 0
-    strays: int = 0
+    foreign_events: int = 0
     _attempt_id: str = ""
 
     @property
@@ -59,7 +59,7 @@
 
     def take(
         self, attempt_id: str, index: int, *, has_token: bool, finish: bool
-    ) -> Step:
+    ) -> EventAction:
         """Judges one event.
 
         Args:
@@ -73,22 +73,22 @@
         # as an event with another attempt's id, which only its own caller
         # may see.
         if attempt_id != self._attempt_id:
-            self.strays += 1
-            return Step.DROP
+            self.foreign_events += 1
+            return EventAction.DROP
         if self.finished:
             self.duplicates += 1
-            return Step.DROP
+            return EventAction.DROP
         if has_token and index < self.tokens:
             self.duplicates += 1
-            return Step.DROP
+            return EventAction.DROP
         # A number that jumps means that an event was lost on the way. Going
         # on would leave a hole in the answer; the attempt is given up and the
         # answer resumed from the last token delivered.
         if has_token and index > self.tokens:
-            return Step.BROKEN
+            return EventAction.BROKEN
         self.tokens += int(has_token)
         self.finished = finish
-        return Step.DELIVER
+        return EventAction.DELIVER
 
     def end(self) -> bool:
         """Notes the end marker; returns whether the answer is whole.
--- a/packages/bulrushgrade/bulrushgrade/attempts.py
+++ b/packages/bulrushgrade/bulrushgrade/attempts.py
@@ -41,7 +41,7 @@
 )
 
 
-class Step(enum.Enum):
+class NextStep(enum.Enum):
     """What to do next.
 
     RELAY passes the endpoint's own failure on. REFUSE says that nothing ran.
@@ -61,7 +61,7 @@
 
 
 @attrs.define(kw_only=True)
-class History:
+class AttemptHistory:
     """What has happened to one request so far.
 
     Attributes:
@@ -94,7 +94,7 @@
             self.runs += 1
 
 
-def may_try_again(route: routing.Route, history: History) -> bool:
+def may_retry(route: routing.Route, history: AttemptHistory) -> bool:
     """Returns whether the rules of the route allow another attempt.
 
     The retry budget is asked apart from this, and only for attempts that
@@ -107,12 +107,12 @@
     return history.arrivals < max(1, route.max_attempts)
 
 
-def end(history: History) -> Step:
+def final_step(history: AttemptHistory) -> NextStep:
     """Returns how a request ends that is not tried again."""
     if history.begun:
-        return Step.CUT
+        return NextStep.CUT
     if history.last is Outcome.FAILED:
-        return Step.RELAY
+        return NextStep.RELAY
     if history.may_have_run:
-        return Step.FAIL
-    return Step.REFUSE
+        return NextStep.FAIL
+    return NextStep.REFUSE
--- a/packages/bulrushgrade/bulrushgrade/cost.py
+++ b/packages/bulrushgrade/bulrushgrade/cost.py
@@ -16,9 +16,9 @@
 
 SLOW_SAMPLE_WEIGHT = 0.03
 CUT_FACTOR = 2.0
-"""How samples above the line are taken by `LinearFit.learn_least`."""
+"""How samples above the line are taken by `LinearFit.learn_clipped`."""
 
-PLAN_BATCH = 32
+PLANNING_BATCH = 32
 """Requests that share a decode step on an engine that is well used: a half
 of its slots, at which chats still get their tokens in time."""
 
@@ -63,15 +63,15 @@
         self._xy = self._xy * keep + weight * x * y
         self._line = None
 
-    def learn_least(self, x: float, y: float) -> None:
+    def learn_clipped(self, x: float, y: float) -> None:
         """Takes in a sample that may have waited for what was not seen.
 
         What lies above the line counts little and is cut off at twice the
         line: the line then follows the quick samples (an expectile), which
         met least that other hosts had placed and not told of yet.
         """
-        most = CUT_FACTOR * self.at(x)
-        weight = 1.0 if y <= self.at(x) else SLOW_SAMPLE_WEIGHT
+        most = CUT_FACTOR * self.predict(x)
+        weight = 1.0 if y <= self.predict(x) else SLOW_SAMPLE_WEIGHT
         self.learn(x, min(y, most), weight)
 
     def line(self) -> tuple[float, float]:
@@ -80,7 +80,7 @@
             self._line = self._solve()
         return self._line
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Returns the predicted value at x."""
         intercept, slope = self.line()
         return intercept + slope * x
@@ -121,11 +121,11 @@
 
     def first_token_s(self, tokens: float) -> float:
         """Returns the seconds to the first token behind these tokens."""
-        return self.first.at(tokens)
+        return self.first.predict(tokens)
 
     def step_s(self, running: float) -> float:
         """Returns the seconds between tokens at this many requests."""
-        return self.step.at(running)
+        return self.step.predict(running)
 
     def engine_s(self, prefill_tokens: float, output_tokens: float) -> float:
         """Prices work in seconds of one engine's time."""
@@ -134,7 +134,7 @@
 
     def kv_token_s(self, item: work.Work) -> float:
         """Returns the KV memory of an answer times how long it holds it."""
-        held_s = item.output_tokens * self.step_s(PLAN_BATCH)
+        held_s = item.output_tokens * self.step_s(PLANNING_BATCH)
         return (item.prompt_tokens + item.output_tokens) * held_s
 
     def price_s(
--- a/packages/bulrushgrade/bulrushgrade/ejection.py
+++ b/packages/bulrushgrade/bulrushgrade/ejection.py
@@ -14,11 +14,11 @@
 """Times its fellows' median; below it placement's own prediction, which
 knows each endpoint's speed, gives it less work, and that is enough."""
 
-FAILURES = 3
+CONSECUTIVE_FAILURES = 3
 """Failures in a row; a dead endpoint gives nothing else."""
 
-FIRST_S = 5.0
-LONGEST_S = 40.0
+BASE_EJECTION_S = 5.0
+MAX_EJECTION_S = 40.0
 """How long an endpoint stays out: doubled on each failed probe, so that a
 dead one costs one request a while; bounded, so that a mended one returns."""
 
@@ -50,7 +50,7 @@
     failures: int = 0
     ejected_until: float | None = None
     probing: bool = False
-    _stay_s: float = FIRST_S
+    _stay_s: float = BASE_EJECTION_S
 
     def usable(self, now: float) -> bool:
         """Returns whether the endpoint may get a request now.
@@ -66,7 +66,7 @@
         A probe whose caller goes away is never judged; another may follow
         after the longest stay, so that the endpoint is not lost for good.
         """
-        self.ejected_until = now + LONGEST_S
+        self.ejected_until = now + MAX_EJECTION_S
         self.probing = True
 
     def observe(self, ratio: float) -> None:
@@ -76,14 +76,14 @@
         self.failures = 0
         self.ratio += weight * (min(ratio, 20.0) - self.ratio)
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Takes in a failure."""
         self.failures += 1
 
     def eject(self, now: float) -> None:
         """Takes the endpoint out."""
         self.ejected_until = now + self._stay_s
-        self._stay_s = min(LONGEST_S, self._stay_s * 2.0)
+        self._stay_s = min(MAX_EJECTION_S, self._stay_s * 2.0)
         self.probing = False
         # The next probe is judged by itself, not by the memory of the time
         # before: else a mended endpoint would need many probes to return.
@@ -95,22 +95,22 @@
         self.probing = False
         self.ratio = 1.0
         self.samples = 0
-        self._stay_s = FIRST_S
+        self._stay_s = BASE_EJECTION_S
 
 
-def judge(health: Health, fellows: list[Health], now: float) -> bool:
+def update(health: Health, cohort: list[Health], now: float) -> bool:
     """Ejects or restores one endpoint after an observation of it.
 
     Args:
         health: The endpoint's; it is changed.
-        fellows: Those that do the same work, itself among them.
+        cohort: Those that do the same work, itself among them.
         now: The present time.
 
     Returns:
         Whether it is out afterwards.
     """
-    median = _median_ratio(fellows, health)
-    failing = health.failures >= FAILURES
+    median = _median_ratio(cohort, health)
+    failing = health.failures >= CONSECUTIVE_FAILURES
     slow = health.samples >= MIN_SAMPLES and (
         health.ratio > SLOW_FACTOR * median
     )
@@ -120,8 +120,8 @@
         return health.ejected_until is not None
     if failing or slow:
         part = MAX_FAILED_PART if failing else MAX_PART
-        out = sum(f.ejected_until is not None for f in fellows)
-        if out + 1 <= int(part * len(fellows) + 1e-9):
+        out = sum(f.ejected_until is not None for f in cohort)
+        if out + 1 <= int(part * len(cohort) + 1e-9):
             health.eject(now)
     return health.ejected_until is not None
 
@@ -134,8 +134,8 @@
         health.restore()
 
 
-def _median_ratio(fellows: list[Health], health: Health) -> float:
+def _median_ratio(cohort: list[Health], health: Health) -> float:
     ratios = sorted(
-        f.ratio for f in fellows if f is not health and f.samples >= 2
+        f.ratio for f in cohort if f is not health and f.samples >= 2
     )
     return max(ratios[len(ratios) // 2], 1.0) if ratios else 1.0
--- a/packages/bulrushgrade/bulrushgrade/eventstream.py
+++ b/packages/bulrushgrade/bulrushgrade/eventstream.py
@@ -12,7 +12,7 @@
 _ID = b"id:"
 
 
-class EventCutter:
+class EventSplitter:
     """Takes bytes as they arrive and gives whole events."""
 
     def __init__(self):
--- a/packages/bulrushgrade/bulrushgrade/lane.py
+++ b/packages/bulrushgrade/bulrushgrade/lane.py
@@ -27,38 +27,38 @@
 
 
 @attrs.frozen(kw_only=True, eq=False)
-class Waiting:
+class QueuedWork:
     """Work that waits at this host.
 
     Attributes:
         work: The work.
         engine_s: Its price in engine seconds.
-        reading_s: Those of them that read its prompt.
+        prefill_work_s: Those of them that read its prompt.
         latest_start: When it has to be placed to be in time.
         lane: The lane that it waits in.
         number: Grows with each arrival; breaks ties in favour of the first.
         not_before: When it may be placed first, for a retry.
         avoid: Endpoints that failed it.
         attempt: Attempts so far that may have run; 0 for fresh work.
-        turned_away: Attempts so far that endpoints did not start.
+        rejections: Attempts so far that endpoints did not start.
         tokens_done: Tokens of the answer that the caller already has.
     """
 
     work: work.Work
     engine_s: float
-    reading_s: float
+    prefill_work_s: float
     latest_start: float
     lane: LaneName
     number: int = 0
     not_before: float = 0.0
     avoid: frozenset[str] = frozenset()
     attempt: int = 0
-    turned_away: int = 0
+    rejections: int = 0
     tokens_done: int = 0
 
 
 class Lane:
-    """Waiting work in order of its latest start."""
+    """QueuedWork work in order of its latest start."""
 
     def __init__(self):
         self._items = sortedcontainers.SortedList(
@@ -75,23 +75,23 @@
         """Engine seconds of all that waits."""
         return self._engine_s
 
-    def add(self, item: Waiting) -> None:
+    def add(self, item: QueuedWork) -> None:
         """Queues an item."""
         self._items.add(item)
         self._engine_s += item.engine_s
 
-    def head(self) -> Waiting | None:
+    def head(self) -> QueuedWork | None:
         """Returns the item that has to start first."""
         return self._items[0] if self._items else None
 
-    def remove(self, item: Waiting) -> None:
+    def remove(self, item: QueuedWork) -> None:
         """Takes an item out."""
         self._items.remove(item)
         self._engine_s -= item.engine_s
         if not self._items:
             self._engine_s = 0.0
 
-    def ahead_s(self, latest_start: float) -> float:
+    def work_ahead_s(self, latest_start: float) -> float:
         """Returns the engine seconds that would go before a new item.
 
         Taken as the item's rank times the mean price, so that an admission
@@ -112,7 +112,7 @@
     def __len__(self) -> int:
         return sum(len(lane) for lane in self.lanes.values())
 
-    def add(self, item: Waiting) -> None:
+    def add(self, item: QueuedWork) -> None:
         """Queues an item; a lane that was empty is owed nothing."""
         lane = self.lanes[item.lane]
         if not len(lane):
@@ -120,18 +120,18 @@
             lane.used_s = max([lane.used_s, *others[:1]])
         lane.add(item)
 
-    def turns(self) -> list[Lane]:
+    def lanes_by_usage(self) -> list[Lane]:
         """Returns the lanes with work, the one that used least first."""
         waiting = [lane for lane in self.lanes.values() if len(lane)]
         return sorted(waiting, key=lambda lane: lane.used_s)
 
-    def ahead_s(self, item: Waiting) -> float:
+    def work_ahead_s(self, item: QueuedWork) -> float:
         """Returns engine seconds that go before a new item of a lane.
 
         The other lane takes turns, so as much of it as this lane's own part
         goes before too, but never more than it has.
         """
-        own = self.lanes[item.lane].ahead_s(item.latest_start)
+        own = self.lanes[item.lane].work_ahead_s(item.latest_start)
         other = sum(
             lane.engine_s
             for name, lane in self.lanes.items()
@@ -140,6 +140,6 @@
         return own + min(other, own)
 
 
-def lane_of(reading_s: float) -> LaneName:
+def lane_for(prefill_work_s: float) -> LaneName:
     """Returns the lane for work with this much reading, in engine seconds."""
-    return LaneName.LONG if reading_s >= LONG_S else LaneName.SHORT
+    return LaneName.LONG if prefill_work_s >= LONG_S else LaneName.SHORT
--- a/packages/bulrushgrade/bulrushgrade/limit.py
+++ b/packages/bulrushgrade/bulrushgrade/limit.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-DECREASE = 0.85
+DECREASE_FACTOR = 0.85
 """Factor on a late answer: several hosts see the same engine late at once
 and all step down, so each steps less than the classic half."""
 
@@ -16,12 +16,12 @@
 """One decrease an interval: every answer of one overloaded second tells of
 the same overload, and counting each would drop the limit to the floor."""
 
-FLOOR = 2.0
+MIN_LIMIT = 2.0
 """Requests allowed always, so that recovery can be observed."""
 
 
 @attrs.define(kw_only=True)
-class Limit:
+class ConcurrencyLimit:
     """How many requests one engine may hold, all hosts together.
 
     Attributes:
@@ -48,8 +48,8 @@
         if late:
             if now - self._decreased_at >= MIN_INTERVAL_S:
                 self._decreased_at = now
-                base = min(self.value, max(running, FLOOR))
-                self.value = max(FLOOR, base * DECREASE)
+                base = min(self.value, max(running, MIN_LIMIT))
+                self.value = max(MIN_LIMIT, base * DECREASE_FACTOR)
         elif running >= 0.7 * self.value:
             self.value = min(self.ceiling, self.value + 1.0 / self.value)
 
--- a/packages/bulrushgrade/bulrushgrade/load.py
+++ b/packages/bulrushgrade/bulrushgrade/load.py
@@ -17,7 +17,7 @@
 from bulrushgrade import limit
 from bulrushgrade import work
 
-PEER_LIFE_S = 3.0
+PEER_LOAD_TTL_S = 3.0
 """A peer that is silent for so long is no longer counted: what it left at
 the engines shows in their reports."""
 
@@ -49,7 +49,7 @@
             self.short_tokens + other.short_tokens,
         )
 
-    def times(self, factor: float) -> "Amount":
+    def scaled(self, factor: float) -> "Amount":
         """Returns the amount times a factor."""
         return Amount(
             self.running * factor,
@@ -58,7 +58,7 @@
             self.short_tokens * factor,
         )
 
-    def beyond(self, other: "Amount") -> "Amount":
+    def excess_over(self, other: "Amount") -> "Amount":
         """Returns what is here and not in the other, none below zero."""
         return Amount(
             max(0.0, self.running - other.running),
@@ -67,12 +67,12 @@
             max(0.0, self.short_tokens - other.short_tokens),
         )
 
-    def most(self, other: "Amount") -> "Amount":
+    def maximum(self, other: "Amount") -> "Amount":
         """Returns the larger figure of each kind."""
-        return self + other.beyond(self)
+        return self + other.excess_over(self)
 
 
-NOTHING = Amount()
+NO_LOAD = Amount()
 
 
 class EndpointLoad:
@@ -80,26 +80,26 @@
 
     def __init__(self, *, endpoint: work.Endpoint):
         self.endpoint = endpoint
-        self.limit = limit.Limit(ceiling=float(endpoint.slots))
+        self.limit = limit.ConcurrencyLimit(ceiling=float(endpoint.slots))
         self.health = ejection.Health()
-        self.first_ratio = 1.0
+        self.first_token_ratio = 1.0
         self.step_ratio = 1.0
         self.kv_capacity_tokens = endpoint.kv_capacity_tokens
-        self._own = NOTHING
+        self._own = NO_LOAD
         self._peers: dict[str, Amount] = {}
-        self._peer_sum = NOTHING
-        self._unknown = NOTHING
+        self._peer_sum = NO_LOAD
+        self._unknown = NO_LOAD
         self._history: collections.deque[
             tuple[float, Amount, Amount, Amount]
         ] = collections.deque()
-        self.total = NOTHING
+        self.total = NO_LOAD
 
     @property
     def own(self) -> Amount:
         """What this host has in flight here."""
         return self._own
 
-    def describe(self, endpoint: work.Endpoint) -> None:
+    def update_endpoint(self, endpoint: work.Endpoint) -> None:
         """Takes in a changed description.
 
         In a new role or with a new model the engine is another one to the
@@ -107,10 +107,10 @@
         """
         old, self.endpoint = self.endpoint, endpoint
         if (old.role, old.model) != (endpoint.role, endpoint.model):
-            self.first_ratio = self.step_ratio = 1.0
+            self.first_token_ratio = self.step_ratio = 1.0
             self.health = ejection.Health()
         if old.slots != endpoint.slots:
-            self.limit = limit.Limit(ceiling=float(endpoint.slots))
+            self.limit = limit.ConcurrencyLimit(ceiling=float(endpoint.slots))
         if endpoint.kv_capacity_tokens:
             self.kv_capacity_tokens = endpoint.kv_capacity_tokens
 
@@ -126,19 +126,19 @@
     def add_own(self, amount: Amount, now: float) -> None:
         """Books work of this host, or with negative figures its end."""
         total = self._own + amount
-        self._own = total.beyond(NOTHING)
+        self._own = total.excess_over(NO_LOAD)
         self._changed(now)
 
     def set_peer(self, peer: str, amount: Amount, now: float) -> None:
         """Replaces what a peer has in flight here."""
-        before = self._peers.pop(peer, NOTHING)
-        if amount != NOTHING:
+        before = self._peers.pop(peer, NO_LOAD)
+        if amount != NO_LOAD:
             self._peers[peer] = amount
         # Counts are whole numbers, so adding and taking away leaves no rest.
-        self._peer_sum = self._peer_sum + before.times(-1.0) + amount
+        self._peer_sum = self._peer_sum + before.scaled(-1.0) + amount
         self._changed(now)
 
-    def take_report(self, report: work.LoadReport, now: float) -> None:
+    def apply_report(self, report: work.LoadReport, now: float) -> None:
         """Takes in the engine's own, lagged figures."""
         if report.kv_capacity_tokens:
             self.kv_capacity_tokens = report.kv_capacity_tokens
@@ -149,7 +149,7 @@
             float(report.prefill_backlog_tokens),
             float(report.kv_used_tokens),
         )
-        self._unknown = shown.beyond(self._known_of(now - report.age_s))
+        self._unknown = shown.excess_over(self._known_of(now - report.age_s))
         # Cached prefixes that no request uses are part of the engine's KV
         # figure and are evicted on demand: they are no load.
         self._unknown = attrs.evolve(self._unknown, kv_tokens=0.0)
@@ -169,7 +169,7 @@
             "ejected": self.health.ejected_until is not None,
         }
 
-    def strange_tokens(self, since: float, until: float) -> float:
+    def foreign_prefill_tokens(self, since: float, until: float) -> float:
         """Returns the most that others had to be read here in a time.
 
         It is asked some time after, when messages that were under way at the
@@ -205,7 +205,7 @@
         """
         peers = self._peer_sum
         for at, own, heard, _ in reversed(self._history):
-            peers = peers.most(heard)
+            peers = peers.maximum(heard)
             if at <= when:
                 return own + peers
         return peers
--- a/packages/bulrushgrade/bulrushgrade/offeredload.py
+++ b/packages/bulrushgrade/bulrushgrade/offeredload.py
@@ -11,7 +11,7 @@
     def __init__(self):
         self._counts: dict[str, list[float]] = {}
 
-    def offered(
+    def add_request(
         self, item: work.Work, uncached_tokens: float, model: cost.CostModel
     ) -> None:
         """Counts a fresh request; a plain service's is no demand on engines.
@@ -28,12 +28,12 @@
         counts[1] += item.output_tokens
         counts[2] += model.kv_token_s(item)
 
-    def read(self, item: work.Work, more_tokens: float) -> None:
+    def correct_prefill(self, item: work.Work, more_tokens: float) -> None:
         """Corrects what was expected to be read by what was."""
         if item.model in self._counts:
             self._counts[item.model][0] += more_tokens
 
-    def lost(self, item: lane.Waiting) -> None:
+    def add_refused(self, item: lane.QueuedWork) -> None:
         """Counts a request that was refused for load."""
         if item.work.model in self._counts:
             self._counts[item.work.model][3] += item.engine_s
--- a/packages/bulrushgrade/bulrushgrade/placement.py
+++ b/packages/bulrushgrade/bulrushgrade/placement.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ask:
+class PlacementRequest:
     """What is to be placed.
 
     Attributes:
@@ -70,11 +70,11 @@
         return max(0, self.work.output_tokens - self.tokens_done)
 
 
-class Blocked(enum.Enum):
+class BlockedReason(enum.Enum):
     """What there is no room for."""
 
-    READING = "reading"
-    ANSWERING = "answering"
+    NO_PREFILL_ROOM = "reading"
+    NO_DECODE_ROOM = "answering"
     LATE = "late"
 
 
@@ -104,7 +104,7 @@
     late_s: float = 0.0
     score: float
 
-    def placed(
+    def to_placed(
         self, item: work.Work, tokens_done: int, priority: int
     ) -> work.Placed:
         """Returns the decision that tells of this option."""
@@ -129,8 +129,8 @@
 
 
 def choose(
-    among: pool.Pool, ask: Ask, *, rng: random.Random, now: float
-) -> Option | Blocked:
+    among: pool.Pool, ask: PlacementRequest, *, rng: random.Random, now: float
+) -> Option | BlockedReason:
     """Picks where work goes.
 
     Args:
@@ -146,7 +146,7 @@
     hits = among.prefixes.find(ask.work.prefix)
     readers = [
         reader
-        for reader in _healthy(among.readers(ask.work, hits), ask, now)
+        for reader in _healthy(among.prefillers(ask.work, hits), ask, now)
         if _has_room(reader, ask) and _may_read(among, reader, ask)
     ]
     options = [
@@ -155,20 +155,24 @@
         for option in _options(among, ask, reader, hits, now)
     ]
     if not options:
-        return Blocked.ANSWERING if readers else Blocked.READING
+        return (
+            BlockedReason.NO_DECODE_ROOM
+            if readers
+            else BlockedReason.NO_PREFILL_ROOM
+        )
     best = min(option.score for option in options)
-    reading_s = among.model.prefill_s(ask.work.prompt_tokens)
+    reading_s = among.cost_model.prefill_s(ask.work.prompt_tokens)
     limit = best * (1.0 + NEAR_PART) + NEAR_S + NEAR_READINGS * reading_s
     near = [option for option in options if option.score <= limit]
     if len(near) > 2:
         near = rng.sample(near, 2)
     chosen = min(near, key=lambda option: option.score)
     if chosen.late_s > LATE_TOLERANCE_S:
-        return Blocked.LATE
+        return BlockedReason.LATE
     return chosen
 
 
-def note_placed(
+def record_placement(
     among: pool.Pool, item: work.Work, option: Option, now: float
 ) -> None:
     """Notes what an endpoint will have cached, and a probe's start."""
@@ -180,7 +184,7 @@
 
 def _options(
     among: pool.Pool,
-    ask: Ask,
+    ask: PlacementRequest,
     reader: load.EndpointLoad,
     hits: dict[str, int],
     now: float,
@@ -204,7 +208,7 @@
 
 
 def _plain(among: pool.Pool, endpoint: load.EndpointLoad) -> Option:
-    finish = among.model.plain_s * endpoint.first_ratio
+    finish = among.cost_model.plain_s * endpoint.first_token_ratio
     crowd = endpoint.total.running / max(1, endpoint.endpoint.slots)
     return Option(
         endpoint=endpoint,
@@ -220,18 +224,18 @@
 
 def _predict(
     among: pool.Pool,
-    ask: Ask,
+    ask: PlacementRequest,
     reader: load.EndpointLoad,
     decoder: load.EndpointLoad,
     uncached: float,
     now: float,
 ) -> Option:
-    model, item = among.model, ask.work
+    model, item = among.cost_model, ask.work
     ahead = _backlog(reader, ask) + uncached
-    first = model.first_token_s(ahead) * reader.first_ratio
+    first = model.first_token_s(ahead) * reader.first_token_ratio
     harm = 0.0
     if reader.endpoint.role is work.Role.MIXED:
-        reading_s = model.prefill_s(uncached) * reader.first_ratio
+        reading_s = model.prefill_s(uncached) * reader.first_token_ratio
         harm = HARM * reading_s * reader.total.running
     if decoder is not reader:
         first += TRANSFER_S + TRANSFER_S_PER_TOKEN * item.prompt_tokens
@@ -239,7 +243,7 @@
     finish = first + ask.answer_tokens * step
     limit = item.between_tokens_s
     over = max(0.0, step / limit - 1.0) if limit else 0.0
-    late = max(0.0, admission.late_by_s(item, first, finish, now))
+    late = max(0.0, admission.lateness_s(item, first, finish, now))
     return Option(
         endpoint=reader,
         decode=decoder,
@@ -253,13 +257,13 @@
     )
 
 
-def _backlog(reader: load.EndpointLoad, ask: Ask) -> float:
+def _backlog(reader: load.EndpointLoad, ask: PlacementRequest) -> float:
     total = reader.total
     return total.short_tokens if ask.short else total.prefill_tokens
 
 
 def _healthy(
-    items: list[load.EndpointLoad], ask: Ask, now: float
+    items: list[load.EndpointLoad], ask: PlacementRequest, now: float
 ) -> list[load.EndpointLoad]:
     """Returns those that are not to be avoided, and not ejected.
 
@@ -271,7 +275,7 @@
     return [item for item in allowed if item.placeable(now)] or allowed
 
 
-def _has_room(item: load.EndpointLoad, ask: Ask) -> bool:
+def _has_room(item: load.EndpointLoad, ask: PlacementRequest) -> bool:
     if not item.limit.admits(item.total.running):
         return False
     capacity, held = item.kv_capacity_tokens, item.total.kv_tokens
@@ -279,6 +283,8 @@
     return not capacity or not held or held + need <= KV_PART * capacity
 
 
-def _may_read(among: pool.Pool, reader: load.EndpointLoad, ask: Ask) -> bool:
-    waiting_s = among.model.prefill_s(_backlog(reader, ask))
-    return waiting_s * reader.first_ratio <= PREFILL_AHEAD_S
+def _may_read(
+    among: pool.Pool, reader: load.EndpointLoad, ask: PlacementRequest
+) -> bool:
+    waiting_s = among.cost_model.prefill_s(_backlog(reader, ask))
+    return waiting_s * reader.first_token_ratio <= PREFILL_AHEAD_S
--- a/packages/bulrushgrade/bulrushgrade/pool.py
+++ b/packages/bulrushgrade/bulrushgrade/pool.py
@@ -33,7 +33,7 @@
     def __init__(self, *, rng: random.Random):
         self._rng = rng
         self.loads: dict[str, load.EndpointLoad] = {}
-        self.model = cost.CostModel()
+        self.cost_model = cost.CostModel()
         self.prefixes = prefix.PrefixIndex()
         self._keys: dict[str, tuple[float, float]] = {}
         self._readers = sortedcontainers.SortedList()
@@ -68,7 +68,7 @@
         if item.endpoint.state is not work.EndpointState.SERVING:
             return
         total = item.total
-        reading = total.prefill_tokens * item.first_ratio + total.running
+        reading = total.prefill_tokens * item.first_token_ratio + total.running
         running = (total.running + 1.0) * item.step_ratio
         self._keys[address] = (reading, running)
         if item.endpoint.role is not work.Role.DECODE:
@@ -94,7 +94,7 @@
         ratios = (self.loads[a].step_ratio for _, a in self._decoders)
         return max(1.0, min(ratios, default=1.0))
 
-    def fellows(self, role: work.Role) -> list[ejection.Health]:
+    def cohort(self, role: work.Role) -> list[ejection.Health]:
         """Returns the health of all endpoints in service with this role."""
         return [
             self.loads[address].health
@@ -108,7 +108,7 @@
         cached = max(hits.values(), default=0) * work.BLOCK_TOKENS
         return max(0, item.prompt_tokens + tokens_done - cached)
 
-    def readers(
+    def prefillers(
         self, item: work.Work, hits: dict[str, int]
     ) -> list[load.EndpointLoad]:
         """Returns candidates for reading a prompt.
--- a/packages/bulrushgrade/bulrushgrade/pools.py
+++ b/packages/bulrushgrade/bulrushgrade/pools.py
@@ -83,7 +83,7 @@
         """Takes in an engine's lagged report of its load."""
         item = self._loads.get(report.endpoint)
         if item is not None:
-            item.take_report(report, now)
+            item.apply_report(report, now)
             self._refresh(report.endpoint)
 
     def peer_load(
@@ -103,14 +103,16 @@
 
     def fresh_peers(self, now: float) -> int:
         """Returns how many peers have been heard lately."""
-        return sum(now - at <= load.PEER_LIFE_S for at in self._peers.values())
+        return sum(
+            now - at <= load.PEER_LOAD_TTL_S for at in self._peers.values()
+        )
 
     def expire_peers(self, now: float) -> None:
         """Forgets the loads of peers that fell silent."""
         silent = [
             peer
             for peer, at in self._peers.items()
-            if now - at > load.PEER_LIFE_S
+            if now - at > load.PEER_LOAD_TTL_S
         ]
         for peer in silent:
             del self._peers[peer]
@@ -128,7 +130,7 @@
                 short_backlog_tokens=round(item.own.short_tokens),
             )
             for address, item in self._loads.items()
-            if item.own != load.NOTHING
+            if item.own != load.NO_LOAD
         )
 
     def cache_event(self, endpoint: str, prefix: int, stored: bool) -> None:
@@ -151,7 +153,7 @@
         """Notes that an endpoint failed a request."""
         item = self._loads.get(address)
         if item is not None:
-            item.health.fail()
+            item.health.record_failure()
             self._judge(item, now)
 
     def observe_ratio(
@@ -164,8 +166,8 @@
     def capacity(self, model: str) -> tuple[float, float]:
         """Returns the tokens a second that one engine reads and generates."""
         state = self._pools.get(("model", model))
-        costs = state.pool.model if state else cost.CostModel()
-        batch = cost.PLAN_BATCH
+        costs = state.pool.cost_model if state else cost.CostModel()
+        batch = cost.PLANNING_BATCH
         return 1.0 / costs.prefill_s(1.0), batch / costs.step_s(batch)
 
     def dump(self) -> dict[str, Any]:
@@ -179,7 +181,7 @@
                 "/".join(key): {
                     "queues": state.queue.dump(),
                     "shares": state.queue.shares.dump(),
-                    "cost": state.pool.model.dump(),
+                    "cost": state.pool.cost_model.dump(),
                 }
                 for key, state in self._pools.items()
             },
@@ -190,7 +192,7 @@
         if item is None:
             return
         theirs = self._told.get(peer, {}).get(address)
-        amount = load.NOTHING
+        amount = load.NO_LOAD
         if theirs is not None:
             amount = load.Amount(
                 float(theirs.running),
@@ -203,8 +205,8 @@
 
     def _judge(self, item: load.EndpointLoad, now: float) -> None:
         for key in self._keys.get(item.endpoint.address, ())[:1]:
-            fellows = self._pools[key].pool.fellows(item.endpoint.role)
-            ejection.judge(item.health, fellows, now)
+            cohort = self._pools[key].pool.cohort(item.endpoint.role)
+            ejection.update(item.health, cohort, now)
 
     def _set_endpoint(self, address: str, endpoint: work.Endpoint) -> None:
         known = self._loads.get(address)
@@ -214,7 +216,7 @@
             self._keys[address] = ()
         elif known.endpoint == endpoint:
             return
-        known.describe(endpoint)
+        known.update_endpoint(endpoint)
         keys = _keys_of(endpoint)
         for key in self._keys[address]:
             if key not in keys:
--- a/packages/bulrushgrade/bulrushgrade/prefix.py
+++ b/packages/bulrushgrade/bulrushgrade/prefix.py
@@ -5,7 +5,7 @@
 MAX_HOLDERS = 3
 """Engines looked at because they hold a prefix."""
 
-PREFIX_LIMIT = 60_000
+MAX_INDEXED_BLOCKS = 60_000
 """Blocks remembered a pool, about 100 bytes each."""
 
 
@@ -27,7 +27,7 @@
             holders.pop(address, None)
             holders[address] = None
             self._holders.move_to_end(block)
-        while len(self._holders) > PREFIX_LIMIT:
+        while len(self._holders) > MAX_INDEXED_BLOCKS:
             self._holders.popitem(last=False)
 
     def discard(self, block: int, address: str) -> None:
--- a/packages/bulrushgrade/bulrushgrade/progress.py
+++ b/packages/bulrushgrade/bulrushgrade/progress.py
@@ -45,9 +45,9 @@
         placed_at: When.
         ahead_tokens: Tokens to be read before its answer, its own included.
         running: Requests at its decode endpoint, itself included.
-        reading: What is booked on its endpoint until the prompt is read.
-        answering: What is booked on its decode endpoint until its end.
-        reading_done: Whether the prompt has been read.
+        prefill_load: What is booked on its endpoint until the prompt is read.
+        decode_load: What is booked on its decode endpoint until its end.
+        is_prefilled: Whether the prompt has been read.
         read_s: Seconds until the prompt was read.
         first_at: When its first token came.
         tokens: Tokens that came by now.
@@ -55,15 +55,15 @@
         paced_tokens: How many tokens it had then.
     """
 
-    item: lane.Waiting
+    item: lane.QueuedWork
     pool: pool.Pool
     option: placement.Option
     placed_at: float
     ahead_tokens: float
     running: float
-    reading: load.Amount
-    answering: load.Amount
-    reading_done: bool = False
+    prefill_load: load.Amount
+    decode_load: load.Amount
+    is_prefilled: bool = False
     read_s: float | None = None
     first_at: float | None = None
     tokens: int = 0
@@ -72,7 +72,7 @@
 
 
 def start(
-    item: lane.Waiting,
+    item: lane.QueuedWork,
     pool: pool.Pool,
     option: placement.Option,
     now: float,
@@ -81,7 +81,7 @@
     split = option.decode is not option.endpoint
     prompt = float(item.work.prompt_tokens)
     tokens = option.uncached_tokens
-    reading = load.Amount(
+    prefill_load = load.Amount(
         1.0 if split else 0.0,
         tokens,
         prompt if split else 0.0,
@@ -94,27 +94,29 @@
         placed_at=now,
         ahead_tokens=option.ahead_tokens,
         running=option.decode.total.running + 1.0,
-        reading=reading,
-        answering=load.Amount(1.0, 0.0, prompt + item.work.output_tokens),
+        prefill_load=prefill_load,
+        decode_load=load.Amount(1.0, 0.0, prompt + item.work.output_tokens),
     )
 
 
-def learn_first(progress: Progress, now: float) -> None:
+def learn_first_token(progress: Progress, now: float) -> None:
     """Learns from the time that reading took."""
     if not progress.item.work.model:
         return
     reader = progress.option.endpoint
-    model = progress.pool.model
+    model = progress.pool.cost_model
     waited = now - progress.placed_at
     predicted = model.first_token_s(progress.ahead_tokens)
     progress.read_s = waited
     ratio = _ratio(waited, predicted)
-    reader.first_ratio += RATIO_WEIGHT * (ratio - reader.first_ratio)
+    reader.first_token_ratio += RATIO_WEIGHT * (
+        ratio - reader.first_token_ratio
+    )
     late = waited > max(LATE_START_FACTOR * predicted, LATE_START_S)
     reader.limit.observe(late=late, running=reader.total.running, now=now)
 
 
-def learn_reading(progress: Progress, cached_tokens: int) -> float:
+def learn_prefill(progress: Progress, cached_tokens: int) -> float:
     """Learns the reading speed, once it is known what was cached.
 
     Args:
@@ -132,10 +134,10 @@
     if progress.read_s is not None and ahead <= CLEAN_PART * read:
         start = progress.placed_at
         end = start + progress.read_s + HEARD_S
-        strange = progress.option.endpoint.strange_tokens(start, end)
+        strange = progress.option.endpoint.foreign_prefill_tokens(start, end)
         if strange <= CLEAN_PART * read:
-            first = progress.pool.model.first
-            first.learn_least(ahead + read, progress.read_s)
+            first = progress.pool.cost_model.first
+            first.learn_clipped(ahead + read, progress.read_s)
     return read - expected
 
 
@@ -157,7 +159,7 @@
     progress.paced_at, progress.paced_tokens = now, count
     decoder = progress.option.decode
     running = max(decoder.total.running, 1.0)
-    ratio = _ratio(elapsed / tokens, progress.pool.model.step_s(running))
+    ratio = _ratio(elapsed / tokens, progress.pool.cost_model.step_s(running))
     decoder.step_ratio += RATIO_WEIGHT * (ratio - decoder.step_ratio)
     # Answers on an engine that reads beside them are slow for that reason:
     # taken for illness it would have the mixed engines ejected.
@@ -165,20 +167,22 @@
     return None if reads and decoder.total.prefill_tokens else ratio
 
 
-def learn_rest(progress: Progress, now: float) -> float | None:
+def learn_completion(progress: Progress, now: float) -> float | None:
     """Learns from a complete answer.
 
     Returns:
         Observed to predicted time of a plain service's answer; None for a
         model's, whose pace was followed while it went on.
     """
-    model = progress.pool.model
+    model = progress.pool.cost_model
     decoder = progress.option.decode
     if not progress.item.work.model:
         took = now - progress.placed_at
         ratio = _ratio(took, model.plain_s)
         model.learn_plain(took)
-        decoder.first_ratio += RATIO_WEIGHT * (ratio - decoder.first_ratio)
+        decoder.first_token_ratio += RATIO_WEIGHT * (
+            ratio - decoder.first_token_ratio
+        )
         return ratio
     if progress.first_at is not None and progress.tokens > 1:
         step_s = (now - progress.first_at) / (progress.tokens - 1)
--- a/packages/bulrushgrade/bulrushgrade/queueing.py
+++ b/packages/bulrushgrade/bulrushgrade/queueing.py
@@ -28,7 +28,7 @@
 work take the large work's share at four times the load."""
 
 
-LatestStart = Callable[[lane.Waiting], float]
+LatestStart = Callable[[lane.QueuedWork], float]
 """Returns when an item has to be placed to be in time."""
 
 
@@ -57,7 +57,7 @@
         """Returns the services that have work waiting."""
         return [name for name, queue in self._queues.items() if len(queue)]
 
-    def add(self, item: lane.Waiting, now: float) -> None:
+    def add(self, item: lane.QueuedWork, now: float) -> None:
         """Queues an item."""
         service = item.work.service
         queue = self._queues.setdefault(service, lane.ServiceQueue())
@@ -67,7 +67,7 @@
         self._drain(service).note(busy=True, now=now)
 
     def remove(
-        self, item: lane.Waiting, now: float, *, placed_s: float = 0.0
+        self, item: lane.QueuedWork, now: float, *, placed_s: float = 0.0
     ) -> None:
         """Takes an item out, with its price if it was placed."""
         service = item.work.service
@@ -77,17 +77,17 @@
             busy=bool(len(queue)), now=now, placed_s=placed_s
         )
 
-    def place(self, item: lane.Waiting, now: float) -> None:
+    def place(self, item: lane.QueuedWork, now: float) -> None:
         """Takes out an item that was placed, and books it."""
         service = item.work.service
         self.remove(item, now, placed_s=item.engine_s)
         part = self._reading_part
-        answering_s = item.engine_s - item.reading_s
-        charge = 2.0 * (part * item.reading_s + (1.0 - part) * answering_s)
+        answering_s = item.engine_s - item.prefill_work_s
+        charge = 2.0 * (part * item.prefill_work_s + (1.0 - part) * answering_s)
         self.shares.charge(service, charge)
         self._queues[service].lanes[item.lane].used_s += charge
 
-    def note_blocked(self, *, reading: bool) -> None:
+    def observe_blocked(self, *, prefill_bound: bool) -> None:
         """Notes what waiting work had no room for.
 
         Services are charged for what is scarce. While engines that read are
@@ -95,20 +95,20 @@
         loss: charged in full they held chats back for nothing, and a fleet
         at its capacity refused a third of them.
         """
-        target = MAX_PART if reading else 1.0 - MAX_PART
+        target = MAX_PART if prefill_bound else 1.0 - MAX_PART
         self._reading_part += BLOCKED_WEIGHT * (target - self._reading_part)
 
-    def heads(self) -> Iterator[lane.Waiting]:
+    def heads(self) -> Iterator[lane.QueuedWork]:
         """Yields the next item of each lane, in the order of turns."""
         for service in self.shares.order(self.active()):
-            for waiting in self._queues[service].turns():
+            for waiting in self._queues[service].lanes_by_usage():
                 head = waiting.head()
                 if head is not None:
                     yield head
 
     def take_expired(
         self, now: float, latest_start: LatestStart
-    ) -> Iterator[lane.Waiting]:
+    ) -> Iterator[lane.QueuedWork]:
         """Removes and yields the items that can't be in time any more.
 
         Args:
@@ -123,7 +123,7 @@
 
     def wait_s(
         self,
-        item: lane.Waiting,
+        item: lane.QueuedWork,
         *,
         engines: float,
         now: float,
@@ -139,7 +139,7 @@
         queue = self._queues.get(service)
         if queue is None or not len(queue):
             return 0.0
-        ahead = queue.ahead_s(item)
+        ahead = queue.work_ahead_s(item)
         total = sum(self.shares.share(name) for name in self.active())
         expected = engines * self.shares.share(service) / total
         rate = self._drain(service).rate(expected, now)
@@ -156,7 +156,7 @@
         }
 
 
-Try = Callable[[lane.Waiting], bool]
+Try = Callable[[lane.QueuedWork], bool]
 
 
 def dispatch(queue: PoolQueue, attempt: Try, now: float) -> None:
@@ -183,7 +183,7 @@
         for head in list(queue.heads()):
             if head.not_before > now:
                 continue
-            used = queue.shares.used(head.work.service)
+            used = queue.shares.virtual_time_s(head.work.service)
             if blocked is not None and used > blocked + LEAD_S:
                 break
             if attempt(head):
--- a/packages/bulrushgrade/bulrushgrade/retry.py
+++ b/packages/bulrushgrade/bulrushgrade/retry.py
@@ -12,7 +12,7 @@
 
 from bulrushgrade import work
 
-BURST = 64.0
+MAX_BALANCE = 64.0
 """Retries that are saved up at most. An engine that dies takes its whole
 batch with it, and each of those answers has to go on elsewhere: that is one
 batch of work that was admitted already, not a growing load. With 3, an engine
@@ -37,11 +37,11 @@
     """
 
     ratio: float
-    balance: float = BURST
+    balance: float = MAX_BALANCE
 
     def earn(self) -> None:
         """Counts a fresh request."""
-        self.balance = min(self.balance + self.ratio, BURST)
+        self.balance = min(self.balance + self.ratio, MAX_BALANCE)
 
     def spend(self) -> bool:
         """Takes one retry, or returns False when the budget is out."""
@@ -58,7 +58,7 @@
     started: bool,
     max_attempts: int,
     attempt: int,
-    turned_away: int,
+    rejections: int,
 ) -> work.RefusalCode | None:
     """Decides whether a request may be tried again.
 
@@ -69,7 +69,7 @@
         max_attempts: Attempts that the service allows; a request that fails
             everywhere is more likely the cause than the victim.
         attempt: Started attempts before the next one.
-        turned_away: Endpoints that did not start it.
+        rejections: Endpoints that did not start it.
 
     Returns:
         Why it may not be tried again, or None.
@@ -78,7 +78,7 @@
         # What an endpoint turned away cost it nothing, so it is no load that
         # the budget has to bound; counting it would cut requests whenever
         # engines are drained faster than the host list tells.
-        if turned_away < MAX_TURNED_AWAY:
+        if rejections < MAX_TURNED_AWAY:
             return None
         return work.RefusalCode.NO_ENDPOINT
     if not repeatable:
@@ -88,7 +88,9 @@
     return None
 
 
-def avoid(known: frozenset[str], failed: str, serving: int) -> frozenset[str]:
+def endpoints_to_avoid(
+    known: frozenset[str], failed: str, serving: int
+) -> frozenset[str]:
     """Returns the endpoints that a retry must not go to.
 
     Where all have failed it, the first to fail may have come back; only the
--- a/packages/bulrushgrade/bulrushgrade/scheduler.py
+++ b/packages/bulrushgrade/bulrushgrade/scheduler.py
@@ -22,7 +22,7 @@
 from bulrushgrade import retry
 from bulrushgrade import work
 
-TICK_S = 0.1
+POLL_INTERVAL_S = 0.1
 """How often waiting work is looked at when nothing else happened: room that
 other hosts left shows by their messages, at about this interval."""
 
@@ -35,24 +35,26 @@
         *,
         zone: str,
         rng: random.Random,
-        judge: admission.Judge = admission.by_prediction,
+        predict_lateness: admission.LatenessPredictor = (
+            admission.predicted_lateness_s
+        ),
     ):
         """Makes a scheduler without endpoints and services.
 
         Args:
             zone: The host's availability zone.
             rng: Source of every random choice.
-            judge: Returns by how much work with a predicted wait would be
-                late, see `admission.by_prediction`.
+            predict_lateness: Returns by how much work with a predicted wait
+                would be late, see `admission.predicted_lateness_s`.
         """
         self._zone = zone
         self._rng = rng
-        self._judge = judge
+        self._predict_lateness = predict_lateness
         self._fleet = pools.Fleet(rng=rng)
         self._policies: dict[str, work.ServicePolicy] = {}
         self._budgets: dict[str, retry.RetryBudget] = {}
         self._progress: dict[str, progress.Progress] = {}
-        self._waiting: dict[str, tuple[pools.PoolState, lane.Waiting]] = {}
+        self._waiting: dict[str, tuple[pools.PoolState, lane.QueuedWork]] = {}
         self._outbox: dict[str, work.Placed | work.Refused] = {}
         self._offered = offeredload.OfferedLoad()
         self._numbers = itertools.count()
@@ -144,14 +146,14 @@
         self._fleet.observe_failure(failed_endpoint, now)
         item = failed.item
         attempt = item.attempt + started
-        turned_away = item.turned_away + (not started)
+        rejections = item.rejections + (not started)
         code = retry.refusal(
             self._budgets[item.work.service],
             repeatable=item.work.repeatable,
             started=started,
             max_attempts=self._policies[item.work.service].max_attempts,
             attempt=attempt,
-            turned_away=turned_away,
+            rejections=rejections,
         )
         if code is not None:
             return self._refuse(item.work, code)
@@ -164,8 +166,10 @@
             again,
             now,
             attempt=attempt,
-            turned_away=turned_away,
-            avoid=retry.avoid(item.avoid, failed_endpoint, serving),
+            rejections=rejections,
+            avoid=retry.endpoints_to_avoid(
+                item.avoid, failed_endpoint, serving
+            ),
             tokens_done=tokens_done,
             not_before=now + retry.delay_s(attempt, self._rng),
         )
@@ -184,7 +188,7 @@
         """Returns when to poll next if nothing happens, or None."""
         if self._outbox:
             return now
-        return now + TICK_S if self._waiting else None
+        return now + POLL_INTERVAL_S if self._waiting else None
 
     def cancel(self, request_id: str, now: float) -> None:
         """Forgets a request whose caller has gone."""
@@ -198,9 +202,9 @@
     def prefill_done(self, request_id: str, now: float) -> None:
         """Notes that the prompt was read, before a KV cache is moved."""
         current = self._progress.get(request_id)
-        if current is None or current.reading_done:
+        if current is None or current.is_prefilled:
             return
-        progress.learn_first(current, now)
+        progress.learn_first_token(current, now)
         self._end_reading(current, now)
 
     def first_token(self, request_id: str, now: float) -> None:
@@ -246,9 +250,9 @@
         for each in (current.option.endpoint, current.option.decode):
             each.health.failures = 0
         if cached_tokens is not None and current.item.work.model:
-            more = progress.learn_reading(current, cached_tokens)
-            self._offered.read(current.item.work, more)
-        self._observe(current, progress.learn_rest(current, now), now)
+            more = progress.learn_prefill(current, cached_tokens)
+            self._offered.correct_prefill(current.item.work, more)
+        self._observe(current, progress.learn_completion(current, now), now)
 
     def dump(self) -> dict[str, Any]:
         """Returns the state for a person, ready for JSON."""
@@ -267,7 +271,7 @@
         now: float,
         *,
         attempt: int = 0,
-        turned_away: int = 0,
+        rejections: int = 0,
         avoid: frozenset[str] = frozenset(),
         tokens_done: int = 0,
         not_before: float = 0.0,
@@ -276,30 +280,30 @@
         if state is None:
             return self._refuse(item, work.RefusalCode.NO_ENDPOINT)
         uncached = placement.uncached_tokens(state.pool, item, tokens_done)
-        model = state.pool.model
-        if not attempt + turned_away:
-            self._offered.offered(item, uncached, model)
-        reading_s = model.prefill_s(uncached) if item.model else 0.0
-        waiting = lane.Waiting(
+        model = state.pool.cost_model
+        if not attempt + rejections:
+            self._offered.add_request(item, uncached, model)
+        prefill_work_s = model.prefill_s(uncached) if item.model else 0.0
+        waiting = lane.QueuedWork(
             work=item,
             engine_s=model.price_s(item, uncached, tokens_done),
-            reading_s=reading_s,
+            prefill_work_s=prefill_work_s,
             latest_start=min(
                 admission.latest_start(item, model, uncached, tokens_done),
                 now + self._policies[item.service].max_wait_s,
             ),
-            lane=lane.lane_of(reading_s),
+            lane=lane.lane_for(prefill_work_s),
             number=next(self._numbers),
             not_before=not_before,
             avoid=avoid,
             attempt=attempt,
-            turned_away=turned_away,
+            rejections=rejections,
             tokens_done=tokens_done,
         )
         return self._queue(state, waiting, now)
 
     def _queue(
-        self, state: pools.PoolState, item: lane.Waiting, now: float
+        self, state: pools.PoolState, item: lane.QueuedWork, now: float
     ) -> work.Decision:
         wanted, queue = item.work, state.queue
         limit = self._policies[wanted.service].queue_limit
@@ -307,9 +311,9 @@
             return self._refuse(wanted, work.RefusalCode.QUEUE_FULL)
         engines = self._engines(state.pool, now)
         wait_s = queue.wait_s(item, engines=engines, now=now)
-        late_s = self._judge(item, wait_s, now)
+        late_s = self._predict_lateness(item, wait_s, now)
         if late_s > 0.0:
-            self._offered.lost(item)
+            self._offered.add_refused(item)
             return self._refuse(wanted, work.RefusalCode.OVERLOADED, late_s)
         queue.add(item, now)
         self._waiting[wanted.request_id] = (state, item)
@@ -323,18 +327,18 @@
     def _dispatch(self, state: pools.PoolState, now: float) -> None:
         step_ratio = state.pool.step_ratio
 
-        def latest_start(item: lane.Waiting) -> float:
+        def latest_start(item: lane.QueuedWork) -> float:
             return self._latest_start(state.pool, item, step_ratio)
 
         for item in state.queue.take_expired(now, latest_start):
             request_id, late_s = item.work.request_id, now - latest_start(item)
             del self._waiting[request_id]
-            self._offered.lost(item)
+            self._offered.add_refused(item)
             refused = self._refuse(item.work, work.RefusalCode.LATE, late_s)
             self._outbox[request_id] = refused
         engines = self._engines(state.pool, now)
 
-        def attempt(item: lane.Waiting) -> bool:
+        def attempt(item: lane.QueuedWork) -> bool:
             shares = state.queue.shares
             may_run = shares.may_run(item.work.service, engines, now)
             return may_run and self._place(state, item, now)
@@ -342,7 +346,7 @@
         queueing.dispatch(state.queue, attempt, now)
 
     def _latest_start(
-        self, pool: pool.Pool, item: lane.Waiting, step_ratio: float
+        self, pool: pool.Pool, item: lane.QueuedWork, step_ratio: float
     ) -> float:
         """Returns when an item has to be placed by what is known now.
 
@@ -355,42 +359,44 @@
             return item.latest_start
         judged = admission.latest_start(
             item.work,
-            pool.model,
-            item.reading_s / pool.model.prefill_s(1.0),
+            pool.cost_model,
+            item.prefill_work_s / pool.cost_model.prefill_s(1.0),
             item.tokens_done,
             step_ratio,
         )
         return min(item.latest_start, judged)
 
     def _place(
-        self, state: pools.PoolState, item: lane.Waiting, now: float
+        self, state: pools.PoolState, item: lane.QueuedWork, now: float
     ) -> bool:
-        ask = placement.Ask(
+        ask = placement.PlacementRequest(
             work=item.work,
             short=item.lane is lane.LaneName.SHORT,
             avoid=item.avoid,
             tokens_done=item.tokens_done,
         )
         option = placement.choose(state.pool, ask, rng=self._rng, now=now)
-        if isinstance(option, placement.Blocked):
-            if option is not placement.Blocked.LATE:
-                reading = option is placement.Blocked.READING
-                state.queue.note_blocked(reading=reading)
+        if isinstance(option, placement.BlockedReason):
+            if option is not placement.BlockedReason.LATE:
+                prefill_bound = (
+                    option is placement.BlockedReason.NO_PREFILL_ROOM
+                )
+                state.queue.observe_blocked(prefill_bound=prefill_bound)
             return False
         request_id = item.work.request_id
         state.queue.place(item, now)
         del self._waiting[request_id]
         placed = progress.start(item, state.pool, option, now)
         self._progress[request_id] = placed
-        self._fleet.book(option.endpoint, placed.reading, now)
-        self._fleet.book(option.decode, placed.answering, now)
-        placement.note_placed(state.pool, item.work, option, now)
+        self._fleet.book(option.endpoint, placed.prefill_load, now)
+        self._fleet.book(option.decode, placed.decode_load, now)
+        placement.record_placement(state.pool, item.work, option, now)
         self._counts["placed"] += 1
         # Inside an engine a chat goes before a reading of equal priority: a
         # reading bears a second's wait, a chat's first token does not.
         policy = self._policies[item.work.service]
         priority = 2 * policy.priority + (item.lane is lane.LaneName.LONG)
-        self._outbox[request_id] = option.placed(
+        self._outbox[request_id] = option.to_placed(
             item.work, item.tokens_done, priority
         )
         return True
@@ -408,14 +414,14 @@
             self._fleet.observe_ratio(current.option.decode, ratio, now)
 
     def _end_reading(self, current: progress.Progress, now: float) -> None:
-        if not current.reading_done:
-            current.reading_done = True
-            ended = current.reading.times(-1.0)
+        if not current.is_prefilled:
+            current.is_prefilled = True
+            ended = current.prefill_load.scaled(-1.0)
             self._fleet.book(current.option.endpoint, ended, now)
 
     def _release(self, current: progress.Progress, now: float) -> None:
         self._end_reading(current, now)
-        ended = current.answering.times(-1.0)
+        ended = current.decode_load.scaled(-1.0)
         self._fleet.book(current.option.decode, ended, now)
 
     def _engines(self, pool: pool.Pool, now: float) -> float:
--- a/packages/bulrushgrade/bulrushgrade/share.py
+++ b/packages/bulrushgrade/bulrushgrade/share.py
@@ -30,7 +30,7 @@
 class _Account:
     share: float
     borrow: bool
-    used: float = 0.0
+    virtual_time_s: float = 0.0
     saved: float = 0.0
     saved_at: float = 0.0
 
@@ -47,7 +47,10 @@
         account = self._accounts.get(service)
         if account is None:
             account = _Account(
-                share=share, borrow=borrow, used=self._floor, saved=BUCKET_S
+                share=share,
+                borrow=borrow,
+                virtual_time_s=self._floor,
+                saved=BUCKET_S,
             )
             self._accounts[service] = account
         account.share = max(share, MIN_SHARE)
@@ -58,9 +61,9 @@
         account = self._accounts.get(service)
         return account.share if account else MIN_SHARE
 
-    def used(self, service: str) -> float:
+    def virtual_time_s(self, service: str) -> float:
         """Returns a service's virtual time in seconds."""
-        return self._accounts[service].used
+        return self._accounts[service].virtual_time_s
 
     def activate(self, service: str, active: Iterable[str]) -> None:
         """Notes that a service starts to ask again.
@@ -71,21 +74,27 @@
         """
         account = self._accounts[service]
         others = [
-            self._accounts[name].used for name in active if name != service
+            self._accounts[name].virtual_time_s
+            for name in active
+            if name != service
         ]
         floor = min(others) if others else self._floor
-        account.used = max(account.used, floor - CREDIT_S)
+        account.virtual_time_s = max(account.virtual_time_s, floor - CREDIT_S)
 
     def charge(self, service: str, engine_s: float) -> None:
         """Books engine seconds on a service."""
         account = self._accounts[service]
-        account.used += engine_s / account.share
+        account.virtual_time_s += engine_s / account.share
         account.saved -= engine_s
-        self._floor = max(self._floor, account.used - 1.0 / account.share)
+        self._floor = max(
+            self._floor, account.virtual_time_s - 1.0 / account.share
+        )
 
     def order(self, services: Iterable[str]) -> list[str]:
         """Sorts services, the furthest behind its share first."""
-        return sorted(services, key=lambda name: self._accounts[name].used)
+        return sorted(
+            services, key=lambda name: self._accounts[name].virtual_time_s
+        )
 
     def may_run(self, service: str, engines: float, now: float) -> bool:
         """Returns whether a service that does not borrow has time left.
@@ -107,6 +116,6 @@
     def dump(self) -> dict[str, dict[str, float]]:
         """Returns each service's account for a person."""
         return {
-            name: {"share": a.share, "used": round(a.used, 3)}
+            name: {"share": a.share, "used": round(a.virtual_time_s, 3)}
             for name, a in self._accounts.items()
         }
--- a/packages/bulrushgrade/tests/test_answer.py
+++ b/packages/bulrushgrade/tests/test_answer.py
@@ -6,9 +6,9 @@
 from bulrushgrade import answer
 
 DELIVER, DROP, BROKEN = (
-    answer.Step.DELIVER,
-    answer.Step.DROP,
-    answer.Step.BROKEN,
+    answer.EventAction.DELIVER,
+    answer.EventAction.DROP,
+    answer.EventAction.BROKEN,
 )
 
 
@@ -41,7 +41,7 @@
     assert state.begin("b") == 1
     assert _take(state, 1, attempt="a") is DROP
     assert _take(state, 1, attempt="b") is DELIVER
-    assert (state.tokens, state.strays) == (2, 1)
+    assert (state.tokens, state.foreign_events) == (2, 1)
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 6))))
--- a/packages/bulrushgrade/tests/test_attempts.py
+++ b/packages/bulrushgrade/tests/test_attempts.py
@@ -8,11 +8,11 @@
 from bulrushgrade import routing
 
 Outcome = attempts.Outcome
-Step = attempts.Step
+NextStep = attempts.NextStep
 
 
 def make_history(*outcomes, begun=False):
-    history = attempts.History(begun=begun)
+    history = attempts.AttemptHistory(begun=begun)
     for outcome in outcomes:
         history.note(outcome)
     return history
@@ -29,41 +29,44 @@
     and a refusal that says not run would have the caller do the same.
     """
     history = make_history(Outcome.LOST)
-    assert not attempts.may_try_again(once_route(max_attempts=3), history)
-    assert attempts.end(history) is Step.FAIL
+    assert not attempts.may_retry(once_route(max_attempts=3), history)
+    assert attempts.final_step(history) is NextStep.FAIL
 
 
 def test_booking_that_reached_nobody_goes_elsewhere():
     history = make_history(Outcome.UNREACHED)
-    assert attempts.may_try_again(once_route(max_attempts=1), history)
+    assert attempts.may_retry(once_route(max_attempts=1), history)
 
 
 def test_refusal_only_where_nothing_ran():
-    assert attempts.end(make_history()) is Step.REFUSE
-    assert attempts.end(make_history(Outcome.TURNED_AWAY)) is Step.REFUSE
+    assert attempts.final_step(make_history()) is NextStep.REFUSE
+    assert (
+        attempts.final_step(make_history(Outcome.TURNED_AWAY))
+        is NextStep.REFUSE
+    )
     mixed = make_history(Outcome.LOST, Outcome.TURNED_AWAY)
-    assert attempts.end(mixed) is Step.FAIL
+    assert attempts.final_step(mixed) is NextStep.FAIL
 
 
 def test_own_failure_of_the_endpoint_is_relayed():
-    assert attempts.end(make_history(Outcome.FAILED)) is Step.RELAY
+    assert attempts.final_step(make_history(Outcome.FAILED)) is NextStep.RELAY
 
 
 def test_repeatable_request_is_tried_up_to_its_attempts():
     route = make_route(max_attempts=2)
-    assert attempts.may_try_again(route, make_history(Outcome.FAILED))
+    assert attempts.may_retry(route, make_history(Outcome.FAILED))
     twice = make_history(Outcome.FAILED, Outcome.FAILED)
-    assert not attempts.may_try_again(route, twice)
+    assert not attempts.may_retry(route, twice)
 
 
 def test_answer_that_began_is_cut_not_refused():
     history = make_history(Outcome.BROKEN_STREAM, begun=True)
-    assert attempts.end(history) is Step.CUT
+    assert attempts.final_step(history) is NextStep.CUT
 
 
 def test_cut_off_host_gives_up_soon():
     outcomes = [Outcome.UNREACHED] * attempts.MAX_UNREACHED
-    assert not attempts.may_try_again(make_route(), make_history(*outcomes))
+    assert not attempts.may_retry(make_route(), make_history(*outcomes))
 
 
 @hypothesis.given(
@@ -79,13 +82,13 @@
         kind=kind.IDEMPOTENT if repeatable else kind.ONCE,
         max_attempts=max_attempts,
     )
-    history = attempts.History()
+    history = attempts.AttemptHistory()
     for outcome in outcomes:
         history.note(outcome)
-        if not attempts.may_try_again(route, history):
+        if not attempts.may_retry(route, history):
             break
     if not repeatable:
         assert history.runs <= 1
     assert history.arrivals <= max(1, max_attempts)
-    if attempts.end(history) is Step.REFUSE:
+    if attempts.final_step(history) is NextStep.REFUSE:
         assert history.runs == 0
--- a/packages/bulrushgrade/tests/test_cost.py
+++ b/packages/bulrushgrade/tests/test_cost.py
@@ -10,15 +10,15 @@
     fit = cost.LinearFit(intercept=0.0, slope=1.0, span=10.0)
     for index in range(2000):
         fit.learn(float(index % 10), 2.0 + 0.5 * (index % 10))
-    assert fit.at(0.0) == pytest.approx(2.0, abs=0.1)
-    assert fit.at(8.0) == pytest.approx(6.0, abs=0.1)
+    assert fit.predict(0.0) == pytest.approx(2.0, abs=0.1)
+    assert fit.predict(8.0) == pytest.approx(6.0, abs=0.1)
 
 
 def test_equal_samples_leave_the_slope_to_the_prior():
     fit = cost.LinearFit(intercept=0.0, slope=1e-4, span=8000.0)
     for _ in range(500):
         fit.learn(400.0, 0.05)
-    assert 0.3 < fit.at(8000.0) < 2.0
+    assert 0.3 < fit.predict(8000.0) < 2.0
 
 
 def test_samples_that_waited_unseen_do_not_make_reading_dear():
@@ -31,7 +31,7 @@
     for index in range(600):
         tokens = 1000.0 + 50.0 * (index % 100)
         unseen_s = 1.0 if index % 2 else 0.0
-        fit.learn_least(tokens, tokens * 1.25e-4 + unseen_s)
+        fit.learn_clipped(tokens, tokens * 1.25e-4 + unseen_s)
     assert fit.line()[1] == pytest.approx(1.25e-4, rel=0.15)
 
 
--- a/packages/bulrushgrade/tests/test_lane.py
+++ b/packages/bulrushgrade/tests/test_lane.py
@@ -5,10 +5,10 @@
 
 
 def _item(name, start, *, engine_s=1.0, which=lane.LaneName.SHORT, number=0):
-    return lane.Waiting(
+    return lane.QueuedWork(
         work=work.Work(request_id=name, service="s", deadline=99.0),
         engine_s=engine_s,
-        reading_s=0.0,
+        prefill_work_s=0.0,
         latest_start=start,
         lane=which,
         number=number,
@@ -29,8 +29,8 @@
     queue = lane.Lane()
     for number in range(10):
         queue.add(_item(f"r{number}", float(number), number=number))
-    assert queue.ahead_s(4.0) == 4.0
-    assert queue.ahead_s(100.0) == 10.0
+    assert queue.work_ahead_s(4.0) == 4.0
+    assert queue.work_ahead_s(100.0) == 10.0
 
 
 def test_lanes_take_turns_and_an_idle_one_saves_nothing():
@@ -42,5 +42,5 @@
 
 
 def test_long_reading_has_its_own_lane():
-    assert lane.lane_of(0.1) is lane.LaneName.SHORT
-    assert lane.lane_of(2.0) is lane.LaneName.LONG
+    assert lane.lane_for(0.1) is lane.LaneName.SHORT
+    assert lane.lane_for(2.0) is lane.LaneName.LONG
--- a/packages/bulrushgrade/tests/test_limit.py
+++ b/packages/bulrushgrade/tests/test_limit.py
@@ -4,18 +4,18 @@
 
 
 def test_lateness_lowers_once_an_interval_down_to_the_floor():
-    made = limit.Limit(ceiling=64.0)
+    made = limit.ConcurrencyLimit(ceiling=64.0)
     made.observe(late=True, running=64.0, now=0.0)
     made.observe(late=True, running=64.0, now=0.1)
-    assert made.value == 64.0 * limit.DECREASE
+    assert made.value == 64.0 * limit.DECREASE_FACTOR
     for second in range(1, 100):
         made.observe(late=True, running=made.value, now=float(second))
-    assert made.value == limit.FLOOR
+    assert made.value == limit.MIN_LIMIT
     assert made.admits(1.0)
 
 
 def test_limit_grows_only_where_it_is_used():
-    made = limit.Limit(ceiling=64.0, value=10.0)
+    made = limit.ConcurrencyLimit(ceiling=64.0, value=10.0)
     made.observe(late=False, running=1.0, now=0.0)
     assert made.value == 10.0
     for _ in range(2000):
--- a/packages/bulrushgrade/tests/test_load.py
+++ b/packages/bulrushgrade/tests/test_load.py
@@ -16,7 +16,7 @@
 def test_idle_looking_report_is_not_believed_over_what_was_just_sent():
     item = _load()
     item.add_own(load.Amount(running=3.0), 10.0)
-    item.take_report(_report(0, 1.0), 10.2)
+    item.apply_report(_report(0, 1.0), 10.2)
     assert item.total.running == 3.0
 
 
@@ -24,7 +24,7 @@
     item = _load()
     item.add_own(load.Amount(running=3.0), 8.0)
     item.set_peer("p", load.Amount(running=2.0), 8.0)
-    item.take_report(_report(5, 1.0), 10.0)
+    item.apply_report(_report(5, 1.0), 10.0)
     assert item.total.running == 5.0
 
 
@@ -35,19 +35,19 @@
     as busy to every host, and callers were refused beside idle engines.
     """
     item = _load()
-    item.add_own(load.NOTHING, 9.0)
+    item.add_own(load.NO_LOAD, 9.0)
     item.set_peer("p", load.Amount(running=4.0), 9.8)
-    item.take_report(_report(4, 0.5), 10.0)
+    item.apply_report(_report(4, 0.5), 10.0)
     assert item.total.running == 4.0
 
 
 def test_work_of_hosts_that_are_not_heard_shows_by_the_report():
     item = _load()
     item.add_own(load.Amount(running=1.0), 5.0)
-    item.take_report(_report(6, 0.5, prefill_backlog_tokens=900), 10.0)
+    item.apply_report(_report(6, 0.5, prefill_backlog_tokens=900), 10.0)
     assert item.total.running == 6.0
     assert item.total.prefill_tokens == 900.0
-    item.take_report(_report(9, 60.0), 10.5)
+    item.apply_report(_report(9, 60.0), 10.5)
     assert item.total.running == 6.0
 
 
@@ -55,5 +55,5 @@
     item = _load()
     item.step_ratio = 3.0
     changed = work.Endpoint(address="e", model="m", role=work.Role.DECODE)
-    item.describe(changed)
+    item.update_endpoint(changed)
     assert item.step_ratio == 1.0
--- a/packages/bulrushgrade/tests/test_placement.py
+++ b/packages/bulrushgrade/tests/test_placement.py
@@ -27,7 +27,7 @@
         request_id="a", service="s", model="m", prompt_tokens=prompt,
         output_tokens=output, prefix=hashes, deadline=60.0, **more,
     )  # fmt: skip
-    return placement.Ask(work=wanted, short=prompt < 3000)
+    return placement.PlacementRequest(work=wanted, short=prompt < 3000)
 
 
 def _choose(among, ask, seed=1):
@@ -66,7 +66,7 @@
 def test_full_memory_and_full_reading_block_for_their_reasons():
     among = _pool(1)
     _busy(among, "e0", load.Amount(2.0, 0.0, 99_000.0))
-    assert _choose(among, _ask()) is placement.Blocked.READING
+    assert _choose(among, _ask()) is placement.BlockedReason.NO_PREFILL_ROOM
     split = _pool(2, role=work.Role.PREFILL)
     answering = work.Endpoint(
         address="d0",
@@ -77,13 +77,13 @@
     split.put(load.EndpointLoad(endpoint=answering))
     assert _choose(split, _ask()).decode.endpoint.address == "d0"
     _busy(split, "d0", load.Amount(2.0, 0.0, 99_000.0))
-    assert _choose(split, _ask()) is placement.Blocked.ANSWERING
+    assert _choose(split, _ask()) is placement.BlockedReason.NO_DECODE_ROOM
 
 
 def test_work_that_would_end_late_is_held_back():
     among = _pool(1)
     among.loads["e0"].step_ratio = 100.0
-    assert _choose(among, _ask()) is placement.Blocked.LATE
+    assert _choose(among, _ask()) is placement.BlockedReason.LATE
 
 
 def test_chat_avoids_the_engine_whose_tokens_come_slowly():
@@ -101,8 +101,8 @@
     assert index.find((1, 2, 3, 4, 5)) == {"a": 4, "b": 3}
     index.discard(4, "a")
     assert index.find((1, 2, 3, 4, 5)) == {"a": 3, "b": 3}
-    index.add(tuple(range(10, prefix.PREFIX_LIMIT + 10)), "c")
-    assert len(index) == prefix.PREFIX_LIMIT
+    index.add(tuple(range(10, prefix.MAX_INDEXED_BLOCKS + 10)), "c")
+    assert len(index) == prefix.MAX_INDEXED_BLOCKS
 
 
 def test_ejected_engine_is_tried_when_no_other_is_left():
@@ -114,6 +114,6 @@
     leaving = work.Endpoint(
         address="e1", model="m", state=work.EndpointState.LEAVING
     )
-    among.loads["e1"].describe(leaving)
+    among.loads["e1"].update_endpoint(leaving)
     among.refresh("e1")
-    assert _choose(among, only_e1) is placement.Blocked.READING
+    assert _choose(among, only_e1) is placement.BlockedReason.NO_PREFILL_ROOM
--- a/packages/bulrushgrade/tests/test_retry.py
+++ b/packages/bulrushgrade/tests/test_retry.py
@@ -15,7 +15,7 @@
     for failed in fails:
         budget.earn()
         retried += failed and budget.spend()
-    assert retried <= retry.BURST + 0.1 * len(fails)
+    assert retried <= retry.MAX_BALANCE + 0.1 * len(fails)
 
 
 def test_first_retry_goes_at_once_and_later_ones_spread():
--- a/packages/bulrushgrade/tests/test_scheduler.py
+++ b/packages/bulrushgrade/tests/test_scheduler.py
@@ -123,7 +123,7 @@
             assert second.endpoint != first.endpoint
             made.finished(name, "complete", i * 0.2 + 0.15)
     # What is saved up, and what the first offers earn besides.
-    saved = int(retry.BURST)
+    saved = int(retry.MAX_BALANCE)
     assert set(outcomes[:saved]) == {work.Placed}
     assert outcomes.count(work.Placed) <= saved + 0.1 * len(outcomes)
     assert work.Refused in outcomes[-2:]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerpass.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerpass.py
@@ -115,18 +115,18 @@
     Returns:
         None where the caller has got all of them.
     """
-    caller, cutter, answer = request.caller, request.cutter, request.call
-    cutter.drop_partial()
+    caller, splitter, answer = request.caller, request.splitter, request.call
+    splitter.drop_partial()
     if request.history.begun:
         caller.pace(answer.producer)
 
     def take(data: bytes) -> None:
         on_heard()
-        known_events = cutter.events
-        whole = cutter.feed(data)
-        if cutter.events > known_events:
-            on_events(cutter.events - known_events)
-        if cutter.overflowed:
+        known_events = splitter.events
+        whole = splitter.feed(data)
+        if splitter.events > known_events:
+            on_events(splitter.events - known_events)
+        if splitter.overflowed:
             answer.abort()
         if whole and not caller.gone:
             if not request.history.begun:
@@ -134,7 +134,7 @@
             caller.write(whole)
 
     end = await answer.read(take)
-    if not end.whole or cutter.partial:
+    if not end.whole or splitter.partial:
         return inflight.AttemptEnd(
             outcome=attempts.Outcome.BROKEN_STREAM,
             reason=end.reason or "ended within an event",
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
@@ -56,7 +56,8 @@
         sending = dialect_module.Sending(
             endpoint=endpoint,
             left_s=0.0,
-            last_event_id=request.cutter.last_id or request.info.last_event_id,
+            last_event_id=request.splitter.last_id
+            or request.info.last_event_id,
             prefilled_by=prefilled,
             urgency=_urgency(request),
             fetch_from=None if prefilled else _fetch_address(request),
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -356,7 +356,7 @@
             return False
         if self._quarantined_s(request) > 0:
             return False
-        if not attempts.may_try_again(request.route, request.history):
+        if not attempts.may_retry(request.route, request.history):
             return False
         if request.history.last is attempts.Outcome.UNREACHED:
             return True
@@ -369,16 +369,16 @@
         reason: str,
     ) -> None:
         """Ends a request that no endpoint answered."""
-        step = attempts.end(request.history)
+        step = attempts.final_step(request.history)
         self._count(f"ended_{step.value}")
         self._log.note_ended(request, step, reason)
         caller = request.caller
-        if step is attempts.Step.CUT:
+        if step is attempts.NextStep.CUT:
             caller.cut()
-        elif step is attempts.Step.RELAY and ended and ended.failure:
+        elif step is attempts.NextStep.RELAY and ended and ended.failure:
             failure = ended.failure
             caller.answer(failure.status, failure.fields, failure.body)
-        elif step is attempts.Step.REFUSE:
+        elif step is attempts.NextStep.REFUSE:
             caller.refuse(self._return_after_s(request))
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -54,7 +54,7 @@
         history: Its attempts.
         avoid: Endpoints that it must not go to again.
         call: The answer that is being read, or None.
-        cutter: Cuts its events, for a stream.
+        splitter: Cuts its events, for a stream.
         endpoint: Who had it last, or None.
         expired: Whether its deadline has passed.
         plan: Which engines have it, or None for a plain service.
@@ -77,11 +77,13 @@
     route: routing.Route
     service: str
     deadline: float
-    history: attempts.History = attrs.field(factory=attempts.History)
+    history: attempts.AttemptHistory = attrs.field(
+        factory=attempts.AttemptHistory
+    )
     avoid: frozenset[tuple[str, int]] = frozenset()
     call: outbound.Answer | None = None
-    cutter: eventstream.EventCutter = attrs.field(
-        factory=eventstream.EventCutter
+    splitter: eventstream.EventSplitter = attrs.field(
+        factory=eventstream.EventSplitter
     )
     endpoint: directory.Registration | None = None
     expired: bool = False
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
@@ -191,7 +191,7 @@
         self._counts["whole" if refused is None else "refused"] += 1
         self._counts["tokens"] += job.answer.tokens
         self._counts["duplicate_events"] += job.answer.duplicates
-        self._counts["stray_events"] += job.answer.strays
+        self._counts["stray_events"] += job.answer.foreign_events
         return refused
 
     async def _run(self, job: ModelJob) -> refusal.Refusal | None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
@@ -112,7 +112,7 @@
             run = {
                 "fingerprint": request.fingerprint,
                 "ran_s": _rounded(request.ran_s(now)),
-                "events": request.cutter.events,
+                "events": request.splitter.events,
             }
         self._log.note(
             "attempt_ended",
@@ -128,7 +128,7 @@
         )
 
     def note_ended(
-        self, request: inflight.InFlight, step: attempts.Step, reason: str
+        self, request: inflight.InFlight, step: attempts.NextStep, reason: str
     ) -> None:
         """Writes that no endpoint answered a request."""
         self._log.note(
@@ -167,7 +167,7 @@
             first_event_after_s=round(first_s, 3),
             read_after_s=_rounded(request.read_after_s),
             longest_pause_s=round(pace.longest_pause_s, 3),
-            events=request.cutter.events,
+            events=request.splitter.events,
             **request.describe_plan(),
             **beliefs,
         )
@@ -197,7 +197,7 @@
             route=request.route.name,
             endpoint=request.endpoint.id if request.endpoint else None,
             begun=request.history.begun,
-            events=request.cutter.events,
+            events=request.splitter.events,
             arrivals=request.history.arrivals,
         )
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/report.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/report.py
@@ -210,7 +210,9 @@
 
     def make(rng: random.Random) -> scheduler.Scheduler:
         return scheduler.Scheduler(
-            zone="", rng=rng, judge=_forcing(forced, random.Random(seed))
+            zone="",
+            rng=rng,
+            predict_lateness=_forcing(forced, random.Random(seed)),
         )
 
     outcome = _run(trace, seed, make, replay.role_plan(trace))
@@ -220,15 +222,17 @@
 
 def _forcing(
     forced: set[str], rng: random.Random
-) -> Callable[[lane.Waiting, float, float], float]:
-    def judge(item: lane.Waiting, wait_s: float, now: float) -> float:
-        late_s = admission.by_prediction(item, wait_s, now)
+) -> Callable[[lane.QueuedWork, float, float], float]:
+    def predict_lateness(
+        item: lane.QueuedWork, wait_s: float, now: float
+    ) -> float:
+        late_s = admission.predicted_lateness_s(item, wait_s, now)
         if late_s > 0.0 and rng.random() < FORCED_PART:
             forced.add(item.work.request_id)
             return 0.0
         return late_s
 
-    return judge
+    return predict_lateness
 
 
 def _mean(
