--- a/packages/bulrushgrade/bulrushgrade/admission.py
+++ b/packages/bulrushgrade/bulrushgrade/admission.py
@@ -16,7 +16,7 @@
 from bulrushgrade import lane
 from bulrushgrade import work
 
-MARGIN = 1.0
+DEADLINE_FRACTION = 1.0
 """Part of the time to its deadline that work may be predicted to take."""
 
 MIN_RETRY_AFTER_S = 0.5
@@ -29,14 +29,14 @@
 """Time constant of the drain rate: long enough to hold a few long readings,
 short enough to follow a lost engine within its callers' patience."""
 
-EXPECTED_S = 1.0
+PRIOR_WEIGHT_S = 1.0
 """Seconds of a queue's life that the expected rate counts for."""
 
 
 LatenessPredictor = Callable[[lane.QueuedWork, float, float], float]
 """Returns by how much work with a predicted wait would be late by now."""
 
-WAIT_PART = 0.7
+WAIT_WEIGHT = 0.7
 """Part of a predicted wait that refuses work. Predicted waits err to the long
 side, as other services leave part of their turns unused; work that was let in
 wrongly is still refused unrun, at its latest start, which harms its caller
@@ -93,8 +93,8 @@
     def rate(self, expected: float, now: float) -> float:
         """Returns the rate, drawn to `expected` while little was seen."""
         self.note(busy=self._busy, now=now)
-        seen = self._placed_s + expected * EXPECTED_S
-        return seen / (self._busy_s + EXPECTED_S)
+        placed_s_with_prior = self._placed_s + expected * PRIOR_WEIGHT_S
+        return placed_s_with_prior / (self._busy_s + PRIOR_WEIGHT_S)
 
 
 def latest_start(
@@ -119,9 +119,11 @@
     first_s = model.first_token_s(uncached_tokens)
     left = max(0, item.output_tokens - tokens_done)
     answer_s = left * model.step_s(cost.TYPICAL_BATCH) * step_ratio
-    start = item.deadline - (first_s + answer_s) / MARGIN
+    start = item.deadline - (first_s + answer_s) / DEADLINE_FRACTION
     if item.first_token_deadline is not None:
-        start = min(start, item.first_token_deadline - first_s / MARGIN)
+        start = min(
+            start, item.first_token_deadline - first_s / DEADLINE_FRACTION
+        )
     return start
 
 
@@ -139,9 +141,11 @@
     Returns:
         Seconds, zero or less when it will be in time.
     """
-    late = finish_s / MARGIN - (item.deadline - now)
+    late = finish_s / DEADLINE_FRACTION - (item.deadline - now)
     if item.first_token_deadline is not None:
-        first_late = first_token_s / MARGIN - (item.first_token_deadline - now)
+        first_late = first_token_s / DEADLINE_FRACTION - (
+            item.first_token_deadline - now
+        )
         late = max(late, first_late)
     return late
 
@@ -170,7 +174,7 @@
         By how many seconds the work would miss its deadline; it is refused
         when that is above zero.
     """
-    return now + WAIT_PART * wait_s - item.latest_start
+    return now + WAIT_WEIGHT * wait_s - item.latest_start
 
 
 def refuse(
--- a/packages/bulrushgrade/bulrushgrade/cost.py
+++ b/packages/bulrushgrade/bulrushgrade/cost.py
@@ -10,12 +10,12 @@
 
 from bulrushgrade import work
 
-MEMORY_SAMPLES = 300.0
+DECAY_SAMPLES = 300.0
 """Completions that a line remembers: a few minutes of a busy host, so that a
 new model version is learned within one shift of the mix."""
 
 SLOW_SAMPLE_WEIGHT = 0.03
-CUT_FACTOR = 2.0
+CLIP_FACTOR = 2.0
 """How samples above the line are taken by `LinearFit.learn_clipped`."""
 
 PLANNING_BATCH = 32
@@ -55,12 +55,12 @@
 
     def learn(self, x: float, y: float, weight: float = 1.0) -> None:
         """Takes in one sample, a light one also forgetting less."""
-        keep = 1.0 - weight / MEMORY_SAMPLES
-        self._count = self._count * keep + weight
-        self._x = self._x * keep + weight * x
-        self._y = self._y * keep + weight * y
-        self._xx = self._xx * keep + weight * x * x
-        self._xy = self._xy * keep + weight * x * y
+        decay = 1.0 - weight / DECAY_SAMPLES
+        self._count = self._count * decay + weight
+        self._x = self._x * decay + weight * x
+        self._y = self._y * decay + weight * y
+        self._xx = self._xx * decay + weight * x * x
+        self._xy = self._xy * decay + weight * x * y
         self._line = None
 
     def learn_clipped(self, x: float, y: float) -> None:
@@ -70,9 +70,9 @@
         line: the line then follows the quick samples (an expectile), which
         met least that other hosts had placed and not told of yet.
         """
-        most = CUT_FACTOR * self.predict(x)
+        ceiling = CLIP_FACTOR * self.predict(x)
         weight = 1.0 if y <= self.predict(x) else SLOW_SAMPLE_WEIGHT
-        self.learn(x, min(y, most), weight)
+        self.learn(x, min(y, ceiling), weight)
 
     def line(self) -> tuple[float, float]:
         """Returns the intercept and slope; the slope is above zero."""
@@ -86,12 +86,12 @@
         return intercept + slope * x
 
     def _solve(self) -> tuple[float, float]:
-        far = self.intercept + self.slope * self.span
+        prior_y = self.intercept + self.slope * self.span
         count = self._count + 2.0
         x = self._x + self.span
-        y = self._y + self.intercept + far
+        y = self._y + self.intercept + prior_y
         xx = self._xx + self.span * self.span
-        xy = self._xy + self.span * far
+        xy = self._xy + self.span * prior_y
         slope = (count * xy - x * y) / (count * xx - x * x)
         slope = max(slope, 0.0)
         return max((y - slope * x) / count, 0.0), max(slope, 1e-9)
--- a/packages/bulrushgrade/bulrushgrade/ejection.py
+++ b/packages/bulrushgrade/bulrushgrade/ejection.py
@@ -22,12 +22,12 @@
 """How long an endpoint stays out: doubled on each failed probe, so that a
 dead one costs one request a while; bounded, so that a mended one returns."""
 
-MAX_PART = 1 / 3
+MAX_SLOW_FRACTION = 1 / 3
 """Part of the fellows that may be out for slowness. Past it the cause is more
 likely common (a bad model version, a slow network), and ejecting would move
 the load of all onto a few that are no better."""
 
-MAX_FAILED_PART = 1 / 2
+MAX_FAILED_FRACTION = 1 / 2
 """Part that may be out once one fails: a dead engine does no work, so that
 leaving it out costs nothing, but where more than half fail it is this host
 that is cut off, and it had better go on trying them all."""
@@ -50,7 +50,7 @@
     failures: int = 0
     ejected_until: float | None = None
     probing: bool = False
-    _stay_s: float = BASE_EJECTION_S
+    _ejection_s: float = BASE_EJECTION_S
 
     def usable(self, now: float) -> bool:
         """Returns whether the endpoint may get a request now.
@@ -82,8 +82,8 @@
 
     def eject(self, now: float) -> None:
         """Takes the endpoint out."""
-        self.ejected_until = now + self._stay_s
-        self._stay_s = min(MAX_EJECTION_S, self._stay_s * 2.0)
+        self.ejected_until = now + self._ejection_s
+        self._ejection_s = min(MAX_EJECTION_S, self._ejection_s * 2.0)
         self.probing = False
         # The next probe is judged by itself, not by the memory of the time
         # before: else a mended endpoint would need many probes to return.
@@ -95,7 +95,7 @@
         self.probing = False
         self.ratio = 1.0
         self.samples = 0
-        self._stay_s = BASE_EJECTION_S
+        self._ejection_s = BASE_EJECTION_S
 
 
 def update(health: Health, cohort: list[Health], now: float) -> bool:
@@ -116,17 +116,17 @@
     )
     if health.ejected_until is not None:
         if health.probing:
-            _judge_probe(health, median, now)
+            _evaluate_probe(health, median, now)
         return health.ejected_until is not None
     if failing or slow:
-        part = MAX_FAILED_PART if failing else MAX_PART
-        out = sum(f.ejected_until is not None for f in cohort)
-        if out + 1 <= int(part * len(cohort) + 1e-9):
+        max_fraction = MAX_FAILED_FRACTION if failing else MAX_SLOW_FRACTION
+        ejected = sum(f.ejected_until is not None for f in cohort)
+        if ejected + 1 <= int(max_fraction * len(cohort) + 1e-9):
             health.eject(now)
     return health.ejected_until is not None
 
 
-def _judge_probe(health: Health, median: float, now: float) -> None:
+def _evaluate_probe(health: Health, median: float, now: float) -> None:
     slow = health.ratio > SLOW_FACTOR * median
     if health.failures or slow:
         health.eject(now)
--- a/packages/bulrushgrade/bulrushgrade/eventstream.py
+++ b/packages/bulrushgrade/bulrushgrade/eventstream.py
@@ -8,7 +8,7 @@
 MAX_EVENT_BYTES = 262_144
 """The largest event; an endpoint that never ends one would fill the memory."""
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 _ID = b"id:"
 
 
@@ -16,7 +16,7 @@
     """Takes bytes as they arrive and gives whole events."""
 
     def __init__(self):
-        self._rest = b""
+        self._buffer = b""
         self._last_id: str | None = None
         self._events = 0
 
@@ -33,25 +33,28 @@
     @property
     def partial(self) -> bool:
         """Whether the bytes so far end within an event."""
-        return bool(self._rest.strip())
+        return bool(self._buffer.strip())
 
     @property
     def overflowed(self) -> bool:
         """Whether an event is larger than any event may be."""
-        return len(self._rest) > MAX_EVENT_BYTES
+        return len(self._buffer) > MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> bytes:
         """Returns the whole events that these bytes complete."""
-        buffered = self._rest + data
-        end = max(_end_of_last(buffered, mark) for mark in _ENDS)
-        whole, self._rest = buffered[:end], buffered[end:]
+        buffered = self._buffer + data
+        end = max(
+            _end_of_last_event(buffered, terminator)
+            for terminator in _TERMINATORS
+        )
+        whole, self._buffer = buffered[:end], buffered[end:]
         if whole:
             self._note(whole)
         return whole
 
     def drop_partial(self) -> None:
         """Forgets half an event, before another endpoint goes on."""
-        self._rest = b""
+        self._buffer = b""
 
     def _note(self, whole: bytes) -> None:
         for line in whole.splitlines():
@@ -60,6 +63,6 @@
                 self._events += 1
 
 
-def _end_of_last(data: bytes, mark: bytes) -> int:
-    place = data.rfind(mark)
-    return place + len(mark) if place >= 0 else 0
+def _end_of_last_event(data: bytes, terminator: bytes) -> int:
+    index = data.rfind(terminator)
+    return index + len(terminator) if index >= 0 else 0
--- a/packages/bulrushgrade/bulrushgrade/lane.py
+++ b/packages/bulrushgrade/bulrushgrade/lane.py
@@ -14,7 +14,7 @@
 
 from bulrushgrade import work
 
-LONG_S = 0.4
+LONG_PREFILL_S = 0.4
 """Engine seconds of reading from which work is long: about what a chat's
 time to first token can bear to wait for."""
 
@@ -142,4 +142,4 @@
 
 def lane_for(prefill_work_s: float) -> LaneName:
     """Returns the lane for work with this much reading, in engine seconds."""
-    return LaneName.LONG if prefill_work_s >= LONG_S else LaneName.SHORT
+    return LaneName.LONG if prefill_work_s >= LONG_PREFILL_S else LaneName.SHORT
--- a/packages/bulrushgrade/bulrushgrade/limit.py
+++ b/packages/bulrushgrade/bulrushgrade/limit.py
@@ -12,7 +12,7 @@
 """Factor on a late answer: several hosts see the same engine late at once
 and all step down, so each steps less than the classic half."""
 
-MIN_INTERVAL_S = 1.0
+MIN_DECREASE_INTERVAL_S = 1.0
 """One decrease an interval: every answer of one overloaded second tells of
 the same overload, and counting each would drop the limit to the floor."""
 
@@ -46,7 +46,7 @@
             now: The present time.
         """
         if late:
-            if now - self._decreased_at >= MIN_INTERVAL_S:
+            if now - self._decreased_at >= MIN_DECREASE_INTERVAL_S:
                 self._decreased_at = now
                 base = min(self.value, max(running, MIN_LIMIT))
                 self.value = max(MIN_LIMIT, base * DECREASE_FACTOR)
--- a/packages/bulrushgrade/bulrushgrade/load.py
+++ b/packages/bulrushgrade/bulrushgrade/load.py
@@ -21,7 +21,7 @@
 """A peer that is silent for so long is no longer counted: what it left at
 the engines shows in their reports."""
 
-HISTORY_S = 15.0
+MAX_REPORT_AGE_S = 15.0
 """How far back a report may speak; an older one is not believed."""
 
 
@@ -88,7 +88,7 @@
         self._own = NO_LOAD
         self._peers: dict[str, Amount] = {}
         self._peer_sum = NO_LOAD
-        self._unknown = NO_LOAD
+        self._unattributed = NO_LOAD
         self._history: collections.deque[
             tuple[float, Amount, Amount, Amount]
         ] = collections.deque()
@@ -127,7 +127,7 @@
         """Books work of this host, or with negative figures its end."""
         total = self._own + amount
         self._own = total.excess_over(NO_LOAD)
-        self._changed(now)
+        self._recompute_total(now)
 
     def set_peer(self, peer: str, amount: Amount, now: float) -> None:
         """Replaces what a peer has in flight here."""
@@ -136,24 +136,26 @@
             self._peers[peer] = amount
         # Counts are whole numbers, so adding and taking away leaves no rest.
         self._peer_sum = self._peer_sum + before.scaled(-1.0) + amount
-        self._changed(now)
+        self._recompute_total(now)
 
     def apply_report(self, report: work.LoadReport, now: float) -> None:
         """Takes in the engine's own, lagged figures."""
         if report.kv_capacity_tokens:
             self.kv_capacity_tokens = report.kv_capacity_tokens
-        if report.age_s > HISTORY_S:
+        if report.age_s > MAX_REPORT_AGE_S:
             return
-        shown = Amount(
+        reported = Amount(
             float(report.running + report.queued),
             float(report.prefill_backlog_tokens),
             float(report.kv_used_tokens),
         )
-        self._unknown = shown.excess_over(self._known_of(now - report.age_s))
+        self._unattributed = reported.excess_over(
+            self._known_at(now - report.age_s)
+        )
         # Cached prefixes that no request uses are part of the engine's KV
         # figure and are evicted on demand: they are no load.
-        self._unknown = attrs.evolve(self._unknown, kv_tokens=0.0)
-        self._changed(now)
+        self._unattributed = attrs.evolve(self._unattributed, kv_tokens=0.0)
+        self._recompute_total(now)
 
     def dump(self) -> dict[str, Any]:
         """Returns the load for a person, ready for JSON."""
@@ -176,25 +178,27 @@
         time have been heard.
         """
         most = 0.0
-        for at, _, peers, unknown in reversed(self._history):
+        for at, _, peers, unattributed in reversed(self._history):
             if at <= until:
-                tokens = peers.prefill_tokens + unknown.prefill_tokens
+                tokens = peers.prefill_tokens + unattributed.prefill_tokens
                 most = max(most, tokens)
             if at <= since:
                 break
         return most
 
-    def _changed(self, now: float) -> None:
-        self.total = self._own + self._peer_sum + self._unknown
+    def _recompute_total(self, now: float) -> None:
+        self.total = self._own + self._peer_sum + self._unattributed
         if self._history and self._history[-1][0] == now:
             self._history.pop()
-        self._history.append((now, self._own, self._peer_sum, self._unknown))
+        self._history.append(
+            (now, self._own, self._peer_sum, self._unattributed)
+        )
         while len(self._history) > 2 and (
-            self._history[1][0] < now - HISTORY_S
+            self._history[1][0] < now - MAX_REPORT_AGE_S
         ):
             self._history.popleft()
 
-    def _known_of(self, when: float) -> Amount:
+    def _known_at(self, when: float) -> Amount:
         """What is known now of an earlier time.
 
         Own work is known exactly. A peer's message arrives after the report's
--- a/packages/bulrushgrade/bulrushgrade/placement.py
+++ b/packages/bulrushgrade/bulrushgrade/placement.py
@@ -16,34 +16,34 @@
 from bulrushgrade import pool
 from bulrushgrade import work
 
-NEAR_S = 0.02
-NEAR_PART = 0.1
-NEAR_READINGS = 0.5
+TIE_MARGIN_S = 0.02
+TIE_MARGIN_FRACTION = 0.1
+TIE_MARGIN_PREFILLS = 0.5
 """Predictions this near to the best are equal, as far as stale data can
 tell; two of them are drawn and the better taken. What a message from a peer
 may not have told yet is a reading like this one, so for a long reading more
 is equal. Without it nine hosts sent twenty readings to one idle engine."""
 
-PREFILL_AHEAD_S = 1.0
+MAX_PREFILL_BACKLOG_S = 1.0
 """Reading that may wait inside an engine: enough to keep it busy between two
 decisions, and little enough that the order of deadlines here still counts."""
 
-TRANSFER_S = 0.03
-TRANSFER_S_PER_TOKEN = 2e-6
+KV_TRANSFER_S = 0.03
+KV_TRANSFER_S_PER_TOKEN = 2e-6
 """Moving a KV cache from engine to engine, until measured."""
 
-HARM = 0.3
+INTERFERENCE_WEIGHT = 0.3
 """Weight of the time that reading takes from answers that run beside it."""
 
-LATE_WEIGHT = 10.0
+LATENESS_WEIGHT = 10.0
 """Weight of predicted lateness: an option in time goes before any that is
 not, unless it costs others many times as much."""
 
-LATE_TOLERANCE_S = 0.3
+LATENESS_TOLERANCE_S = 0.3
 """Predicted lateness at which work is not placed: it would end late and take
 the time of work that can be in time. A little is borne, as predictions err."""
 
-KV_PART = 0.95
+MAX_KV_FRACTION = 0.95
 """Part of the KV cache that is given out: an engine that runs out evicts a
 running answer and computes it again."""
 
@@ -121,20 +121,26 @@
         )
 
 
-def uncached_tokens(among: pool.Pool, item: work.Work, tokens_done: int) -> int:
+def uncached_tokens(
+    candidates: pool.Pool, item: work.Work, tokens_done: int
+) -> int:
     """Returns what the best holder of its prefix would have to read."""
-    hits = among.prefixes.find(item.prefix)
+    hits = candidates.prefixes.find(item.prefix)
     cached = max(hits.values(), default=0) * work.BLOCK_TOKENS
     return max(0, item.prompt_tokens + tokens_done - cached)
 
 
 def choose(
-    among: pool.Pool, ask: PlacementRequest, *, rng: random.Random, now: float
+    candidates: pool.Pool,
+    ask: PlacementRequest,
+    *,
+    rng: random.Random,
+    now: float,
 ) -> Option | BlockedReason:
     """Picks where work goes.
 
     Args:
-        among: The endpoints that can do it.
+        candidates: The endpoints that can do it.
         ask: The work.
         rng: Draws among near-equals.
         now: The present time.
@@ -143,73 +149,86 @@
         The best option, which may still be late, or what there is no room
         for while every endpoint is full or out.
     """
-    hits = among.prefixes.find(ask.work.prefix)
-    readers = [
-        reader
-        for reader in _healthy(among.prefillers(ask.work, hits), ask, now)
-        if _has_room(reader, ask) and _may_read(among, reader, ask)
+    hits = candidates.prefixes.find(ask.work.prefix)
+    prefiller_loads = [
+        prefiller
+        for prefiller in _usable_endpoints(
+            candidates.prefillers(ask.work, hits), ask, now
+        )
+        if _has_room(prefiller, ask)
+        and _accepts_prefill(candidates, prefiller, ask)
     ]
     options = [
         option
-        for reader in readers
-        for option in _options(among, ask, reader, hits, now)
+        for prefiller in prefiller_loads
+        for option in _options(candidates, ask, prefiller, hits, now)
     ]
     if not options:
         return (
             BlockedReason.NO_DECODE_ROOM
-            if readers
+            if prefiller_loads
             else BlockedReason.NO_PREFILL_ROOM
         )
     best = min(option.score for option in options)
-    reading_s = among.cost_model.prefill_s(ask.work.prompt_tokens)
-    limit = best * (1.0 + NEAR_PART) + NEAR_S + NEAR_READINGS * reading_s
-    near = [option for option in options if option.score <= limit]
-    if len(near) > 2:
-        near = rng.sample(near, 2)
-    chosen = min(near, key=lambda option: option.score)
-    if chosen.late_s > LATE_TOLERANCE_S:
+    prefill_s_of_prompt = candidates.cost_model.prefill_s(
+        ask.work.prompt_tokens
+    )
+    limit = (
+        best * (1.0 + TIE_MARGIN_FRACTION)
+        + TIE_MARGIN_S
+        + TIE_MARGIN_PREFILLS * prefill_s_of_prompt
+    )
+    near_best = [option for option in options if option.score <= limit]
+    if len(near_best) > 2:
+        near_best = rng.sample(near_best, 2)
+    chosen = min(near_best, key=lambda option: option.score)
+    if chosen.late_s > LATENESS_TOLERANCE_S:
         return BlockedReason.LATE
     return chosen
 
 
 def record_placement(
-    among: pool.Pool, item: work.Work, option: Option, now: float
+    candidates: pool.Pool, item: work.Work, option: Option, now: float
 ) -> None:
     """Notes what an endpoint will have cached, and a probe's start."""
-    among.prefixes.add(item.prefix, option.endpoint.endpoint.address)
+    candidates.prefixes.add(item.prefix, option.endpoint.endpoint.address)
     for each in (option.endpoint, option.decode):
         if each.health.ejected_until is not None:
             each.health.start_probe(now)
 
 
 def _options(
-    among: pool.Pool,
+    candidates: pool.Pool,
     ask: PlacementRequest,
-    reader: load.EndpointLoad,
+    prefiller: load.EndpointLoad,
     hits: dict[str, int],
     now: float,
 ) -> Iterator[Option]:
     if not ask.work.model:
-        yield _plain(among, reader)
+        yield _plain_option(candidates, prefiller)
         return
-    cached = hits.get(reader.endpoint.address, 0) * work.BLOCK_TOKENS
-    reading = ask.work.prompt_tokens + ask.tokens_done
-    uncached = max(float(reading - cached), 1.0)
+    cached = hits.get(prefiller.endpoint.address, 0) * work.BLOCK_TOKENS
+    input_tokens = ask.work.prompt_tokens + ask.tokens_done
+    uncached = max(float(input_tokens - cached), 1.0)
     # As for reading: with no engine for answers left, the reader goes on.
-    alone = not among.has_decoders
-    if alone or reader.endpoint.role is not work.Role.PREFILL:
-        yield _predict(among, ask, reader, reader, uncached, now)
-    if not reader.endpoint.moves_kv:
+    no_decoders = not candidates.has_decoders
+    if no_decoders or prefiller.endpoint.role is not work.Role.PREFILL:
+        yield _engine_option(
+            candidates, ask, prefiller, prefiller, uncached, now
+        )
+    if not prefiller.endpoint.moves_kv:
         return
-    for decoder in _healthy(among.decoders(), ask, now):
-        moves = decoder is not reader and decoder.endpoint.moves_kv
-        if moves and _has_room(decoder, ask):
-            yield _predict(among, ask, reader, decoder, uncached, now)
+    for decoder in _usable_endpoints(candidates.decoders(), ask, now):
+        can_import = decoder is not prefiller and decoder.endpoint.moves_kv
+        if can_import and _has_room(decoder, ask):
+            yield _engine_option(
+                candidates, ask, prefiller, decoder, uncached, now
+            )
 
 
-def _plain(among: pool.Pool, endpoint: load.EndpointLoad) -> Option:
-    finish = among.cost_model.plain_s * endpoint.first_token_ratio
-    crowd = endpoint.total.running / max(1, endpoint.endpoint.slots)
+def _plain_option(candidates: pool.Pool, endpoint: load.EndpointLoad) -> Option:
+    finish = candidates.cost_model.plain_s * endpoint.first_token_ratio
+    saturation = endpoint.total.running / max(1, endpoint.endpoint.slots)
     return Option(
         endpoint=endpoint,
         decode=endpoint,
@@ -218,34 +237,38 @@
         first_token_s=finish,
         step_s=0.0,
         finish_s=finish,
-        score=finish * (1.0 + crowd),
+        score=finish * (1.0 + saturation),
     )
 
 
-def _predict(
-    among: pool.Pool,
+def _engine_option(
+    candidates: pool.Pool,
     ask: PlacementRequest,
-    reader: load.EndpointLoad,
+    prefiller: load.EndpointLoad,
     decoder: load.EndpointLoad,
     uncached: float,
     now: float,
 ) -> Option:
-    model, item = among.cost_model, ask.work
-    ahead = _backlog(reader, ask) + uncached
-    first = model.first_token_s(ahead) * reader.first_token_ratio
-    harm = 0.0
-    if reader.endpoint.role is work.Role.MIXED:
-        reading_s = model.prefill_s(uncached) * reader.first_token_ratio
-        harm = HARM * reading_s * reader.total.running
-    if decoder is not reader:
-        first += TRANSFER_S + TRANSFER_S_PER_TOKEN * item.prompt_tokens
+    model, item = candidates.cost_model, ask.work
+    ahead = _backlog_tokens(prefiller, ask) + uncached
+    first = model.first_token_s(ahead) * prefiller.first_token_ratio
+    interference = 0.0
+    if prefiller.endpoint.role is work.Role.MIXED:
+        prefill_s_of_prompt = (
+            model.prefill_s(uncached) * prefiller.first_token_ratio
+        )
+        interference = (
+            INTERFERENCE_WEIGHT * prefill_s_of_prompt * prefiller.total.running
+        )
+    if decoder is not prefiller:
+        first += KV_TRANSFER_S + KV_TRANSFER_S_PER_TOKEN * item.prompt_tokens
     step = model.step_s(decoder.total.running + 1) * decoder.step_ratio
     finish = first + ask.answer_tokens * step
     limit = item.between_tokens_s
-    over = max(0.0, step / limit - 1.0) if limit else 0.0
+    step_excess = max(0.0, step / limit - 1.0) if limit else 0.0
     late = max(0.0, admission.lateness_s(item, first, finish, now))
     return Option(
-        endpoint=reader,
+        endpoint=prefiller,
         decode=decoder,
         uncached_tokens=uncached,
         ahead_tokens=ahead,
@@ -253,16 +276,18 @@
         step_s=step,
         finish_s=finish,
         late_s=late,
-        score=finish + harm + LATE_WEIGHT * (over + late),
+        score=finish + interference + LATENESS_WEIGHT * (step_excess + late),
     )
 
 
-def _backlog(reader: load.EndpointLoad, ask: PlacementRequest) -> float:
-    total = reader.total
+def _backlog_tokens(
+    prefiller: load.EndpointLoad, ask: PlacementRequest
+) -> float:
+    total = prefiller.total
     return total.short_tokens if ask.short else total.prefill_tokens
 
 
-def _healthy(
+def _usable_endpoints(
     items: list[load.EndpointLoad], ask: PlacementRequest, now: float
 ) -> list[load.EndpointLoad]:
     """Returns those that are not to be avoided, and not ejected.
@@ -280,11 +305,11 @@
         return False
     capacity, held = item.kv_capacity_tokens, item.total.kv_tokens
     need = ask.work.prompt_tokens + ask.work.output_tokens
-    return not capacity or not held or held + need <= KV_PART * capacity
+    return not capacity or not held or held + need <= MAX_KV_FRACTION * capacity
 
 
-def _may_read(
-    among: pool.Pool, reader: load.EndpointLoad, ask: PlacementRequest
+def _accepts_prefill(
+    candidates: pool.Pool, prefiller: load.EndpointLoad, ask: PlacementRequest
 ) -> bool:
-    waiting_s = among.cost_model.prefill_s(_backlog(reader, ask))
-    return waiting_s * reader.first_token_ratio <= PREFILL_AHEAD_S
+    waiting_s = candidates.cost_model.prefill_s(_backlog_tokens(prefiller, ask))
+    return waiting_s * prefiller.first_token_ratio <= MAX_PREFILL_BACKLOG_S
--- a/packages/bulrushgrade/bulrushgrade/pool.py
+++ b/packages/bulrushgrade/bulrushgrade/pool.py
@@ -16,14 +16,14 @@
 from bulrushgrade import prefix
 from bulrushgrade import work
 
-SAMPLES = 4
-"""Least loaded engines looked at, drawn from `POOL_PART` of them."""
+MAX_LEAST_LOADED = 4
+"""Least loaded engines looked at, drawn from `LEAST_LOADED_DIVISOR` of them."""
 
-POOL_PART = 4
+LEAST_LOADED_DIVISOR = 4
 """One in so many endpoints counts as least loaded. Many hosts see the same
 order on stale data: if all took its first, they would herd onto it."""
 
-RING_POINTS = 16
+POINTS_PER_ENDPOINT = 16
 """Points of each endpoint on the hash ring."""
 
 
@@ -35,9 +35,9 @@
         self.loads: dict[str, load.EndpointLoad] = {}
         self.cost_model = cost.CostModel()
         self.prefixes = prefix.PrefixIndex()
-        self._keys: dict[str, tuple[float, float]] = {}
-        self._readers = sortedcontainers.SortedList()
-        self._decoders = sortedcontainers.SortedList()
+        self._sort_keys: dict[str, tuple[float, float]] = {}
+        self._by_prefill_load = sortedcontainers.SortedList()
+        self._by_decode_load = sortedcontainers.SortedList()
         self._ring: list[tuple[int, str]] = []
 
     def __len__(self) -> int:
@@ -47,7 +47,7 @@
         """Adds an endpoint or takes in that its description changed."""
         address = item.endpoint.address
         if address not in self.loads:
-            for point in range(RING_POINTS):
+            for point in range(POINTS_PER_ENDPOINT):
                 seed = f"{address}/{point}".encode()
                 bisect.insort(
                     self._ring, (xxhash.xxh3_64_intdigest(seed), address)
@@ -57,33 +57,35 @@
 
     def drop(self, address: str) -> None:
         """Takes an endpoint out."""
-        self._unsort(address)
+        self._remove_from_orders(address)
         del self.loads[address]
         self._ring = [point for point in self._ring if point[1] != address]
 
     def refresh(self, address: str) -> None:
         """Sorts an endpoint anew after its load changed."""
-        self._unsort(address)
+        self._remove_from_orders(address)
         item = self.loads[address]
         if item.endpoint.state is not work.EndpointState.SERVING:
             return
         total = item.total
-        reading = total.prefill_tokens * item.first_token_ratio + total.running
+        prefill_load = (
+            total.prefill_tokens * item.first_token_ratio + total.running
+        )
         running = (total.running + 1.0) * item.step_ratio
-        self._keys[address] = (reading, running)
+        self._sort_keys[address] = (prefill_load, running)
         if item.endpoint.role is not work.Role.DECODE:
-            self._readers.add((reading, address))
+            self._by_prefill_load.add((prefill_load, address))
         if item.endpoint.role is not work.Role.PREFILL:
-            self._decoders.add((running, address))
+            self._by_decode_load.add((running, address))
 
     def serving(self) -> int:
         """Returns how many endpoints are in service."""
-        return len(self._keys)
+        return len(self._sort_keys)
 
     @property
     def has_decoders(self) -> bool:
         """Whether an engine for answers is in service."""
-        return bool(self._decoders)
+        return bool(self._by_decode_load)
 
     @property
     def step_ratio(self) -> float:
@@ -91,14 +93,14 @@
 
         At least 1: that one engine is quick says nothing of its room.
         """
-        ratios = (self.loads[a].step_ratio for _, a in self._decoders)
+        ratios = (self.loads[a].step_ratio for _, a in self._by_decode_load)
         return max(1.0, min(ratios, default=1.0))
 
     def cohort(self, role: work.Role) -> list[ejection.Health]:
         """Returns the health of all endpoints in service with this role."""
         return [
             self.loads[address].health
-            for address in self._keys
+            for address in self._sort_keys
             if self.loads[address].endpoint.role is role
         ]
 
@@ -122,13 +124,13 @@
         """
         # A role is what an engine does best, not all that it can do. With
         # every engine for prompts lost, slow answers are better than none.
-        if not self._readers:
+        if not self._by_prefill_load:
             return self.decoders()
         found = dict.fromkeys(a for a in hits if a in self.loads)
         if item.prefix and self._ring:
             index = bisect.bisect(self._ring, (item.prefix[0], ""))
             found[self._ring[index % len(self._ring)][1]] = None
-        found.update(dict.fromkeys(self._sample(self._readers)))
+        found.update(dict.fromkeys(self._sample(self._by_prefill_load)))
         return [
             self.loads[address]
             for address in found
@@ -137,17 +139,20 @@
 
     def decoders(self) -> list[load.EndpointLoad]:
         """Returns candidates for generating an answer read elsewhere."""
-        return [self.loads[a] for a in self._sample(self._decoders)]
+        return [self.loads[a] for a in self._sample(self._by_decode_load)]
 
     def _sample(self, order) -> list[str]:
-        part = min(len(order), max(SAMPLES, len(order) // POOL_PART))
-        if part <= SAMPLES:
+        part = min(
+            len(order),
+            max(MAX_LEAST_LOADED, len(order) // LEAST_LOADED_DIVISOR),
+        )
+        if part <= MAX_LEAST_LOADED:
             return [address for _, address in order[:part]]
-        picked = self._rng.sample(range(part), SAMPLES)
+        picked = self._rng.sample(range(part), MAX_LEAST_LOADED)
         return [order[index][1] for index in picked]
 
-    def _unsort(self, address: str) -> None:
-        keys = self._keys.pop(address, None)
+    def _remove_from_orders(self, address: str) -> None:
+        keys = self._sort_keys.pop(address, None)
         if keys is not None:
-            self._readers.discard((keys[0], address))
-            self._decoders.discard((keys[1], address))
+            self._by_prefill_load.discard((keys[0], address))
+            self._by_decode_load.discard((keys[1], address))
--- a/packages/bulrushgrade/bulrushgrade/pools.py
+++ b/packages/bulrushgrade/bulrushgrade/pools.py
@@ -12,7 +12,7 @@
 from bulrushgrade import queueing
 from bulrushgrade import work
 
-Key = tuple[str, str]
+PoolKey = tuple[str, str]
 """What a pool is for: ``("model", NAME)`` or ``("service", NAME)``."""
 
 
@@ -35,10 +35,10 @@
         self._rng = rng
         self._policies: tuple[work.ServicePolicy, ...] = ()
         self._loads: dict[str, load.EndpointLoad] = {}
-        self._keys: dict[str, tuple[Key, ...]] = {}
-        self._pools: dict[Key, PoolState] = {}
+        self._pool_keys: dict[str, tuple[PoolKey, ...]] = {}
+        self._pools: dict[PoolKey, PoolState] = {}
         self._peers: dict[str, float] = {}
-        self._told: dict[str, dict[str, work.PeerLoad]] = {}
+        self._peer_loads: dict[str, dict[str, work.PeerLoad]] = {}
 
     @property
     def pools(self) -> tuple[PoolState, ...]:
@@ -57,14 +57,14 @@
         """Replaces the view of the endpoints; what is known of them stays."""
         wanted = {endpoint.address: endpoint for endpoint in endpoints}
         for address in [a for a in self._loads if a not in wanted]:
-            for key in self._keys.pop(address):
+            for key in self._pool_keys.pop(address):
                 self._pools[key].pool.drop(address)
             del self._loads[address]
         for address, endpoint in wanted.items():
             new = address not in self._loads
             self._set_endpoint(address, endpoint)
-            for peer in self._told if new else ():
-                self._set_peer(peer, address, now)
+            for peer in self._peer_loads if new else ():
+                self._update_peer_load(peer, address, now)
 
     def find_pool(self, item: work.Work) -> PoolState | None:
         """Returns the pool for some work, or None without one in service."""
@@ -91,15 +91,15 @@
     ) -> None:
         """Takes in all that a peer has in flight; what it omits is none."""
         self._peers[peer] = now
-        before = self._told.get(peer, {})
-        told = {item.endpoint: item for item in loads}
-        self._told[peer] = told
+        before = self._peer_loads.get(peer, {})
+        reported = {item.endpoint: item for item in loads}
+        self._peer_loads[peer] = reported
         # Only what changed is booked: a message costs what it tells of, not
         # the size of the fleet.
-        gone = [address for address in before if address not in told]
-        for address in (*told, *gone):
-            if told.get(address) != before.get(address):
-                self._set_peer(peer, address, now)
+        gone = [address for address in before if address not in reported]
+        for address in (*reported, *gone):
+            if reported.get(address) != before.get(address):
+                self._update_peer_load(peer, address, now)
 
     def fresh_peers(self, now: float) -> int:
         """Returns how many peers have been heard lately."""
@@ -116,8 +116,8 @@
         ]
         for peer in silent:
             del self._peers[peer]
-            for address in self._told.pop(peer):
-                self._set_peer(peer, address, now)
+            for address in self._peer_loads.pop(peer):
+                self._update_peer_load(peer, address, now)
 
     def own_loads(self) -> tuple[work.PeerLoad, ...]:
         """Returns what this host has in flight, for its peers."""
@@ -135,7 +135,7 @@
 
     def cache_event(self, endpoint: str, prefix: int, stored: bool) -> None:
         """Takes in that an engine stored or evicted a prompt block."""
-        for key in self._keys.get(endpoint, ()):
+        for key in self._pool_keys.get(endpoint, ()):
             prefixes = self._pools[key].pool.prefixes
             if stored:
                 prefixes.add((prefix,), endpoint)
@@ -154,14 +154,14 @@
         item = self._loads.get(address)
         if item is not None:
             item.health.record_failure()
-            self._judge(item, now)
+            self._update_ejection(item, now)
 
     def observe_ratio(
         self, item: load.EndpointLoad, ratio: float, now: float
     ) -> None:
         """Notes an answer's observed to predicted time."""
         item.health.observe(ratio)
-        self._judge(item, now)
+        self._update_ejection(item, now)
 
     def capacity(self, model: str) -> tuple[float, float]:
         """Returns the tokens a second that one engine reads and generates."""
@@ -187,24 +187,24 @@
             },
         }
 
-    def _set_peer(self, peer: str, address: str, now: float) -> None:
+    def _update_peer_load(self, peer: str, address: str, now: float) -> None:
         item = self._loads.get(address)
         if item is None:
             return
-        theirs = self._told.get(peer, {}).get(address)
+        peer_work = self._peer_loads.get(peer, {}).get(address)
         amount = load.NO_LOAD
-        if theirs is not None:
+        if peer_work is not None:
             amount = load.Amount(
-                float(theirs.running),
-                float(theirs.prefill_backlog_tokens),
-                float(theirs.kv_tokens),
-                float(theirs.short_backlog_tokens),
+                float(peer_work.running),
+                float(peer_work.prefill_backlog_tokens),
+                float(peer_work.kv_tokens),
+                float(peer_work.short_backlog_tokens),
             )
         item.set_peer(peer, amount, now)
         self._refresh(address)
 
-    def _judge(self, item: load.EndpointLoad, now: float) -> None:
-        for key in self._keys.get(item.endpoint.address, ())[:1]:
+    def _update_ejection(self, item: load.EndpointLoad, now: float) -> None:
+        for key in self._pool_keys.get(item.endpoint.address, ())[:1]:
             cohort = self._pools[key].pool.cohort(item.endpoint.role)
             ejection.update(item.health, cohort, now)
 
@@ -213,19 +213,19 @@
         if known is None:
             known = load.EndpointLoad(endpoint=endpoint)
             self._loads[address] = known
-            self._keys[address] = ()
+            self._pool_keys[address] = ()
         elif known.endpoint == endpoint:
             return
         known.update_endpoint(endpoint)
-        keys = _keys_of(endpoint)
-        for key in self._keys[address]:
+        keys = _pool_keys_of(endpoint)
+        for key in self._pool_keys[address]:
             if key not in keys:
                 self._pools[key].pool.drop(address)
         for key in keys:
-            self._pool(key).pool.put(known)
-        self._keys[address] = keys
+            self._get_or_create_pool(key).pool.put(known)
+        self._pool_keys[address] = keys
 
-    def _pool(self, key: Key) -> PoolState:
+    def _get_or_create_pool(self, key: PoolKey) -> PoolState:
         state = self._pools.get(key)
         if state is None:
             state = PoolState(
@@ -243,11 +243,11 @@
             )
 
     def _refresh(self, address: str) -> None:
-        for key in self._keys.get(address, ()):
+        for key in self._pool_keys.get(address, ()):
             self._pools[key].pool.refresh(address)
 
 
-def _keys_of(endpoint: work.Endpoint) -> tuple[Key, ...]:
+def _pool_keys_of(endpoint: work.Endpoint) -> tuple[PoolKey, ...]:
     if endpoint.model:
         names = (endpoint.model, *sorted(endpoint.adapters))
         return tuple(("model", name) for name in names)
--- a/packages/bulrushgrade/bulrushgrade/progress.py
+++ b/packages/bulrushgrade/bulrushgrade/progress.py
@@ -14,19 +14,19 @@
 these seconds, counts as queueing inside the engine: below, it is within what
 the prediction itself gets wrong."""
 
-CLEAN_PART = 0.1
+MAX_BACKLOG_FRACTION = 0.1
 """Reading speed is learned only from work that met little before it. What
 waits at an engine is known from stale messages: a line through such points
 is too flat (errors in x), and reading looks three times as cheap as it is."""
 
-HEARD_S = 0.5
+PEER_MESSAGE_DELAY_S = 0.5
 """After so long, what others had at an engine has been heard."""
 
-RATIO_WEIGHT = 0.1
+RATIO_SMOOTHING = 0.1
 """Weight of one answer in an endpoint's speed: about ten answers to follow a
 change, while one odd answer moves it little."""
 
-PACE_S = 0.5
+MIN_PACE_INTERVAL_S = 0.5
 """Seconds between two measurements of an answer's pace, at the least. The
 longer it is, the longer work waits that can't be in time."""
 
@@ -48,11 +48,11 @@
         prefill_load: What is booked on its endpoint until the prompt is read.
         decode_load: What is booked on its decode endpoint until its end.
         is_prefilled: Whether the prompt has been read.
-        read_s: Seconds until the prompt was read.
+        prefill_took_s: Seconds until the prompt was read.
         first_at: When its first token came.
         tokens: Tokens that came by now.
-        paced_at: When its pace was last looked at.
-        paced_tokens: How many tokens it had then.
+        pace_measured_at: When its pace was last looked at.
+        pace_measured_tokens: How many tokens it had then.
     """
 
     item: lane.QueuedWork
@@ -64,11 +64,11 @@
     prefill_load: load.Amount
     decode_load: load.Amount
     is_prefilled: bool = False
-    read_s: float | None = None
+    prefill_took_s: float | None = None
     first_at: float | None = None
     tokens: int = 0
-    paced_at: float = 0.0
-    paced_tokens: int = 0
+    pace_measured_at: float = 0.0
+    pace_measured_tokens: int = 0
 
 
 def start(
@@ -105,14 +105,14 @@
         return
     reader = progress.option.endpoint
     model = progress.pool.cost_model
-    waited = now - progress.placed_at
+    elapsed_s = now - progress.placed_at
     predicted = model.first_token_s(progress.ahead_tokens)
-    progress.read_s = waited
-    ratio = _ratio(waited, predicted)
-    reader.first_token_ratio += RATIO_WEIGHT * (
+    progress.prefill_took_s = elapsed_s
+    ratio = _ratio(elapsed_s, predicted)
+    reader.first_token_ratio += RATIO_SMOOTHING * (
         ratio - reader.first_token_ratio
     )
-    late = waited > max(LATE_START_FACTOR * predicted, LATE_START_S)
+    late = elapsed_s > max(LATE_START_FACTOR * predicted, LATE_START_S)
     reader.limit.observe(late=late, running=reader.total.running, now=now)
 
 
@@ -127,17 +127,22 @@
         Tokens read beyond what was expected, or below zero fewer.
     """
     item = progress.item
-    whole = item.work.prompt_tokens + item.tokens_done
-    read = max(1.0, float(whole - cached_tokens))
+    input_tokens = item.work.prompt_tokens + item.tokens_done
+    read = max(1.0, float(input_tokens - cached_tokens))
     expected = progress.option.uncached_tokens
     ahead = progress.ahead_tokens - expected
-    if progress.read_s is not None and ahead <= CLEAN_PART * read:
+    if (
+        progress.prefill_took_s is not None
+        and ahead <= MAX_BACKLOG_FRACTION * read
+    ):
         start = progress.placed_at
-        end = start + progress.read_s + HEARD_S
-        strange = progress.option.endpoint.foreign_prefill_tokens(start, end)
-        if strange <= CLEAN_PART * read:
+        end = start + progress.prefill_took_s + PEER_MESSAGE_DELAY_S
+        foreign_tokens = progress.option.endpoint.foreign_prefill_tokens(
+            start, end
+        )
+        if foreign_tokens <= MAX_BACKLOG_FRACTION * read:
             first = progress.pool.cost_model.first
-            first.learn_clipped(ahead + read, progress.read_s)
+            first.learn_clipped(ahead + read, progress.prefill_took_s)
     return read - expected
 
 
@@ -152,19 +157,19 @@
         nothing of the engine's health.
     """
     progress.tokens = count
-    elapsed = now - progress.paced_at
-    if progress.first_at is None or elapsed < PACE_S:
+    elapsed = now - progress.pace_measured_at
+    if progress.first_at is None or elapsed < MIN_PACE_INTERVAL_S:
         return None
-    tokens = max(count - progress.paced_tokens, 1)
-    progress.paced_at, progress.paced_tokens = now, count
+    tokens = max(count - progress.pace_measured_tokens, 1)
+    progress.pace_measured_at, progress.pace_measured_tokens = now, count
     decoder = progress.option.decode
     running = max(decoder.total.running, 1.0)
     ratio = _ratio(elapsed / tokens, progress.pool.cost_model.step_s(running))
-    decoder.step_ratio += RATIO_WEIGHT * (ratio - decoder.step_ratio)
+    decoder.step_ratio += RATIO_SMOOTHING * (ratio - decoder.step_ratio)
     # Answers on an engine that reads beside them are slow for that reason:
     # taken for illness it would have the mixed engines ejected.
-    reads = decoder.endpoint.role is work.Role.MIXED
-    return None if reads and decoder.total.prefill_tokens else ratio
+    is_mixed = decoder.endpoint.role is work.Role.MIXED
+    return None if is_mixed and decoder.total.prefill_tokens else ratio
 
 
 def learn_completion(progress: Progress, now: float) -> float | None:
@@ -180,7 +185,7 @@
         took = now - progress.placed_at
         ratio = _ratio(took, model.plain_s)
         model.learn_plain(took)
-        decoder.first_token_ratio += RATIO_WEIGHT * (
+        decoder.first_token_ratio += RATIO_SMOOTHING * (
             ratio - decoder.first_token_ratio
         )
         return ratio
--- a/packages/bulrushgrade/bulrushgrade/queueing.py
+++ b/packages/bulrushgrade/bulrushgrade/queueing.py
@@ -13,15 +13,15 @@
 from bulrushgrade import lane
 from bulrushgrade import share
 
-MAX_PART = 0.95
+MAX_CHARGE_WEIGHT = 0.95
 """Weight of what alone is scarce; the other is never quite free, or a flood
 of it would cost nothing until it is scarce too."""
 
-BLOCKED_WEIGHT = 0.02
+SCARCITY_SMOOTHING = 0.02
 """Weight of one attempt that found no room: some tens of them, a few seconds
 of a full fleet, to tell what is scarce."""
 
-LEAD_S = 10.0
+MAX_LEAD_S = 10.0
 """Virtual seconds by which a service may get ahead of one that waits for
 room. A shorter lead leaves engines idle at full load, as small work is held
 back that needs nothing of what the large waits for; a longer one lets small
@@ -41,8 +41,8 @@
     """
 
     shares: share.Shares = attrs.field(factory=share.Shares)
-    _drains: dict[str, admission.DrainRate] = attrs.field(factory=dict)
-    _reading_part: float = 0.5
+    _drain_rates: dict[str, admission.DrainRate] = attrs.field(factory=dict)
+    _prefill_weight: float = 0.5
     _queues: dict[str, lane.ServiceQueue] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
@@ -64,7 +64,7 @@
         if not len(queue):
             self.shares.activate(service, self.active())
         queue.add(item)
-        self._drain(service).note(busy=True, now=now)
+        self._drain_rate(service).note(busy=True, now=now)
 
     def remove(
         self, item: lane.QueuedWork, now: float, *, placed_s: float = 0.0
@@ -73,7 +73,7 @@
         service = item.work.service
         queue = self._queues[service]
         queue.lanes[item.lane].remove(item)
-        self._drain(service).note(
+        self._drain_rate(service).note(
             busy=bool(len(queue)), now=now, placed_s=placed_s
         )
 
@@ -81,9 +81,11 @@
         """Takes out an item that was placed, and books it."""
         service = item.work.service
         self.remove(item, now, placed_s=item.engine_s)
-        part = self._reading_part
-        answering_s = item.engine_s - item.prefill_work_s
-        charge = 2.0 * (part * item.prefill_work_s + (1.0 - part) * answering_s)
+        part = self._prefill_weight
+        decode_work_s = item.engine_s - item.prefill_work_s
+        charge = 2.0 * (
+            part * item.prefill_work_s + (1.0 - part) * decode_work_s
+        )
         self.shares.charge(service, charge)
         self._queues[service].lanes[item.lane].used_s += charge
 
@@ -95,8 +97,10 @@
         loss: charged in full they held chats back for nothing, and a fleet
         at its capacity refused a third of them.
         """
-        target = MAX_PART if prefill_bound else 1.0 - MAX_PART
-        self._reading_part += BLOCKED_WEIGHT * (target - self._reading_part)
+        target = MAX_CHARGE_WEIGHT if prefill_bound else 1.0 - MAX_CHARGE_WEIGHT
+        self._prefill_weight += SCARCITY_SMOOTHING * (
+            target - self._prefill_weight
+        )
 
     def heads(self) -> Iterator[lane.QueuedWork]:
         """Yields the next item of each lane, in the order of turns."""
@@ -142,11 +146,11 @@
         ahead = queue.work_ahead_s(item)
         total = sum(self.shares.share(name) for name in self.active())
         expected = engines * self.shares.share(service) / total
-        rate = self._drain(service).rate(expected, now)
+        rate = self._drain_rate(service).rate(expected, now)
         return ahead / max(rate, 1e-3)
 
-    def _drain(self, service: str) -> admission.DrainRate:
-        return self._drains.setdefault(service, admission.DrainRate())
+    def _drain_rate(self, service: str) -> admission.DrainRate:
+        return self._drain_rates.setdefault(service, admission.DrainRate())
 
     def dump(self) -> dict[str, dict[str, float]]:
         """Returns the queues' lengths for a person."""
@@ -156,18 +160,18 @@
         }
 
 
-Try = Callable[[lane.QueuedWork], bool]
+TryPlace = Callable[[lane.QueuedWork], bool]
 
 
-def dispatch(queue: PoolQueue, attempt: Try, now: float) -> None:
+def dispatch(queue: PoolQueue, attempt: TryPlace, now: float) -> None:
     """Places what can be placed, in the order of turns.
 
     A head that finds no room doesn't hold up the other lanes at once: a
     reading that waits for an engine must not stop chats that need none. But
     whoever overtakes a service that is behind its share may get ahead of it
-    by `LEAD_S` only. Without that bound small requests fill every gap before
-    it is large enough for a reading, and the readings' team gets a fifth of
-    what it is guaranteed.
+    by `MAX_LEAD_S` only. Without that bound small requests fill every gap
+    before it is large enough for a reading, and the readings' team gets a
+    fifth of what it is guaranteed.
 
     Each round either places one item or ends, and costs one attempt a lane.
 
@@ -184,7 +188,7 @@
             if head.not_before > now:
                 continue
             used = queue.shares.virtual_time_s(head.work.service)
-            if blocked is not None and used > blocked + LEAD_S:
+            if blocked is not None and used > blocked + MAX_LEAD_S:
                 break
             if attempt(head):
                 placed = True
--- a/packages/bulrushgrade/bulrushgrade/retry.py
+++ b/packages/bulrushgrade/bulrushgrade/retry.py
@@ -18,7 +18,7 @@
 batch of work that was admitted already, not a growing load. With 3, an engine
 lost with 16 answers under way cut 13 of them."""
 
-MAX_TURNED_AWAY = 8
+MAX_REJECTIONS = 8
 """Endpoints that may turn a request away unstarted, as all engines of a zone
 do in a rolling restart; more often than that the view of the fleet is wrong
 and the caller had better come back."""
@@ -78,7 +78,7 @@
         # What an endpoint turned away cost it nothing, so it is no load that
         # the budget has to bound; counting it would cut requests whenever
         # engines are drained faster than the host list tells.
-        if rejections < MAX_TURNED_AWAY:
+        if rejections < MAX_REJECTIONS:
             return None
         return work.RefusalCode.NO_ENDPOINT
     if not repeatable:
--- a/packages/bulrushgrade/bulrushgrade/scheduler.py
+++ b/packages/bulrushgrade/bulrushgrade/scheduler.py
@@ -55,9 +55,9 @@
         self._budgets: dict[str, retry.RetryBudget] = {}
         self._progress: dict[str, progress.Progress] = {}
         self._waiting: dict[str, tuple[pools.PoolState, lane.QueuedWork]] = {}
-        self._outbox: dict[str, work.Placed | work.Refused] = {}
+        self._settled: dict[str, work.Placed | work.Refused] = {}
         self._offered = offeredload.OfferedLoad()
-        self._numbers = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._counts = {"placed": 0, "queued": 0, "refused": 0, "retried": 0}
 
     def set_policies(self, policies: tuple[work.ServicePolicy, ...]) -> None:
@@ -180,19 +180,19 @@
         for state in self._fleet.pools:
             if len(state.queue):
                 self._dispatch(state, now)
-        settled = tuple(self._outbox.values())
-        self._outbox.clear()
+        settled = tuple(self._settled.values())
+        self._settled.clear()
         return settled
 
     def next_poll(self, now: float) -> float | None:
         """Returns when to poll next if nothing happens, or None."""
-        if self._outbox:
+        if self._settled:
             return now
         return now + POLL_INTERVAL_S if self._waiting else None
 
     def cancel(self, request_id: str, now: float) -> None:
         """Forgets a request whose caller has gone."""
-        self._outbox.pop(request_id, None)
+        self._settled.pop(request_id, None)
         if request_id in self._waiting:
             state, item = self._waiting.pop(request_id)
             state.queue.remove(item, now)
@@ -205,14 +205,14 @@
         if current is None or current.is_prefilled:
             return
         progress.learn_first_token(current, now)
-        self._end_reading(current, now)
+        self._end_prefill(current, now)
 
     def first_token(self, request_id: str, now: float) -> None:
         """Notes the first token of an answer."""
         current = self._progress.get(request_id)
         if current is not None and current.first_at is None:
             self.prefill_done(request_id, now)
-            current.first_at = current.paced_at = now
+            current.first_at = current.pace_measured_at = now
 
     def tokens(self, request_id: str, count: int, now: float) -> None:
         """Notes that an attempt has given `count` tokens by now.
@@ -261,7 +261,7 @@
             "counts": dict(self._counts),
             "waiting": len(self._waiting),
             "in_progress": len(self._progress),
-            "settled": len(self._outbox),
+            "settled": len(self._settled),
             **self._fleet.dump(),
         }
 
@@ -293,7 +293,7 @@
                 now + self._policies[item.service].max_wait_s,
             ),
             lane=lane.lane_for(prefill_work_s),
-            number=next(self._numbers),
+            number=next(self._arrival_numbers),
             not_before=not_before,
             avoid=avoid,
             attempt=attempt,
@@ -309,7 +309,7 @@
         limit = self._policies[wanted.service].queue_limit
         if queue.waiting(wanted.service) >= limit:
             return self._refuse(wanted, work.RefusalCode.QUEUE_FULL)
-        engines = self._engines(state.pool, now)
+        engines = self._engine_share(state.pool, now)
         wait_s = queue.wait_s(item, engines=engines, now=now)
         late_s = self._predict_lateness(item, wait_s, now)
         if late_s > 0.0:
@@ -318,7 +318,7 @@
         queue.add(item, now)
         self._waiting[wanted.request_id] = (state, item)
         self._dispatch(state, now)
-        settled = self._outbox.pop(wanted.request_id, None)
+        settled = self._settled.pop(wanted.request_id, None)
         if settled is not None:
             return settled
         self._counts["queued"] += 1
@@ -335,8 +335,8 @@
             del self._waiting[request_id]
             self._offered.add_refused(item)
             refused = self._refuse(item.work, work.RefusalCode.LATE, late_s)
-            self._outbox[request_id] = refused
-        engines = self._engines(state.pool, now)
+            self._settled[request_id] = refused
+        engines = self._engine_share(state.pool, now)
 
         def attempt(item: lane.QueuedWork) -> bool:
             shares = state.queue.shares
@@ -357,14 +357,14 @@
         """
         if step_ratio <= 1.0:
             return item.latest_start
-        judged = admission.latest_start(
+        revised = admission.latest_start(
             item.work,
             pool.cost_model,
             item.prefill_work_s / pool.cost_model.prefill_s(1.0),
             item.tokens_done,
             step_ratio,
         )
-        return min(item.latest_start, judged)
+        return min(item.latest_start, revised)
 
     def _place(
         self, state: pools.PoolState, item: lane.QueuedWork, now: float
@@ -396,7 +396,7 @@
         # reading bears a second's wait, a chat's first token does not.
         policy = self._policies[item.work.service]
         priority = 2 * policy.priority + (item.lane is lane.LaneName.LONG)
-        self._outbox[request_id] = option.to_placed(
+        self._settled[request_id] = option.to_placed(
             item.work, item.tokens_done, priority
         )
         return True
@@ -413,17 +413,17 @@
         if ratio is not None:
             self._fleet.observe_ratio(current.option.decode, ratio, now)
 
-    def _end_reading(self, current: progress.Progress, now: float) -> None:
+    def _end_prefill(self, current: progress.Progress, now: float) -> None:
         if not current.is_prefilled:
             current.is_prefilled = True
             ended = current.prefill_load.scaled(-1.0)
             self._fleet.book(current.option.endpoint, ended, now)
 
     def _release(self, current: progress.Progress, now: float) -> None:
-        self._end_reading(current, now)
+        self._end_prefill(current, now)
         ended = current.decode_load.scaled(-1.0)
         self._fleet.book(current.option.decode, ended, now)
 
-    def _engines(self, pool: pool.Pool, now: float) -> float:
+    def _engine_share(self, pool: pool.Pool, now: float) -> float:
         """This host's part of a pool, if all hosts get equal traffic."""
         return pool.serving() / (1.0 + self._fleet.fresh_peers(now))
--- a/packages/bulrushgrade/bulrushgrade/share.py
+++ b/packages/bulrushgrade/bulrushgrade/share.py
@@ -15,13 +15,13 @@
 """Share of a service that is guaranteed nothing: it lives on what is lent,
 and a zero would divide by zero."""
 
-CREDIT_S = 15.0
+MAX_CREDIT_S = 15.0
 """Virtual seconds that a service keeps of what it is owed when its queue runs
 empty. Few readings arrive at one host, so their queue is empty between two
 of them; forgetting all of it each time left their team two thirds of its
 share under full load. More would let a silent service shut out the others."""
 
-BUCKET_S = 2.0
+BURST_S = 2.0
 """Seconds of its own share that a service which does not borrow may save;
 less would cut short bursts that its share covers."""
 
@@ -31,8 +31,8 @@
     share: float
     borrow: bool
     virtual_time_s: float = 0.0
-    saved: float = 0.0
-    saved_at: float = 0.0
+    burst_s: float = 0.0
+    refilled_at: float = 0.0
 
 
 class Shares:
@@ -40,7 +40,7 @@
 
     def __init__(self):
         self._accounts: dict[str, _Account] = {}
-        self._floor = 0.0
+        self._min_virtual_time_s = 0.0
 
     def set_share(self, service: str, share: float, borrow: bool) -> None:
         """Adds a service or changes its share."""
@@ -49,8 +49,8 @@
             account = _Account(
                 share=share,
                 borrow=borrow,
-                virtual_time_s=self._floor,
-                saved=BUCKET_S,
+                virtual_time_s=self._min_virtual_time_s,
+                burst_s=BURST_S,
             )
             self._accounts[service] = account
         account.share = max(share, MIN_SHARE)
@@ -78,16 +78,19 @@
             for name in active
             if name != service
         ]
-        floor = min(others) if others else self._floor
-        account.virtual_time_s = max(account.virtual_time_s, floor - CREDIT_S)
+        min_virtual_time_s = min(others) if others else self._min_virtual_time_s
+        account.virtual_time_s = max(
+            account.virtual_time_s, min_virtual_time_s - MAX_CREDIT_S
+        )
 
     def charge(self, service: str, engine_s: float) -> None:
         """Books engine seconds on a service."""
         account = self._accounts[service]
         account.virtual_time_s += engine_s / account.share
-        account.saved -= engine_s
-        self._floor = max(
-            self._floor, account.virtual_time_s - 1.0 / account.share
+        account.burst_s -= engine_s
+        self._min_virtual_time_s = max(
+            self._min_virtual_time_s,
+            account.virtual_time_s - 1.0 / account.share,
         )
 
     def order(self, services: Iterable[str]) -> list[str]:
@@ -108,10 +111,10 @@
         if account.borrow:
             return True
         rate = account.share * engines
-        elapsed = max(0.0, now - account.saved_at)
-        account.saved_at = now
-        account.saved = min(account.saved + elapsed * rate, BUCKET_S * rate)
-        return account.saved > 0.0
+        elapsed = max(0.0, now - account.refilled_at)
+        account.refilled_at = now
+        account.burst_s = min(account.burst_s + elapsed * rate, BURST_S * rate)
+        return account.burst_s > 0.0
 
     def dump(self) -> dict[str, dict[str, float]]:
         """Returns each service's account for a person."""
--- a/packages/bulrushgrade/tests/test_admission.py
+++ b/packages/bulrushgrade/tests/test_admission.py
@@ -20,7 +20,7 @@
     assert drain.rate(2.0, 500.0) == pytest.approx(busy, rel=0.05)
 
 
-def test_latest_start_keeps_the_nearer_of_two_deadlines():
+def test_latest_start_meets_the_earlier_of_two_deadlines():
     model = cost.CostModel()
     wanted = work.Work(
         request_id="a", service="s", model="m", output_tokens=100,
--- a/packages/bulrushgrade/tests/test_answer.py
+++ b/packages/bulrushgrade/tests/test_answer.py
@@ -16,7 +16,7 @@
     return state.take(attempt, index, has_token=True, finish=finish)
 
 
-def test_two_tokens_and_a_marker_are_whole():
+def test_two_tokens_and_an_end_marker_are_complete():
     state = answer.Answer()
     state.begin("a")
     assert _take(state, 0) is DELIVER
@@ -25,7 +25,7 @@
     assert state.end()
 
 
-def test_marker_without_finish_is_not_whole():
+def test_end_marker_without_finish_is_incomplete():
     state = answer.Answer()
     state.begin("a")
     _take(state, 0)
@@ -45,7 +45,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 6))))
-def test_delivered_tokens_count_up_without_holes(events):
+def test_delivered_tokens_are_contiguous(events):
     state = answer.Answer()
     state.begin("a")
     delivered = []
--- a/packages/bulrushgrade/tests/test_attempts.py
+++ b/packages/bulrushgrade/tests/test_attempts.py
@@ -33,7 +33,7 @@
     assert attempts.final_step(history) is NextStep.FAIL
 
 
-def test_booking_that_reached_nobody_goes_elsewhere():
+def test_booking_that_reached_no_endpoint_is_retried():
     history = make_history(Outcome.UNREACHED)
     assert attempts.may_retry(once_route(max_attempts=1), history)
 
@@ -59,12 +59,12 @@
     assert not attempts.may_retry(route, twice)
 
 
-def test_answer_that_began_is_cut_not_refused():
+def test_started_answer_is_cut_not_refused():
     history = make_history(Outcome.BROKEN_STREAM, begun=True)
     assert attempts.final_step(history) is NextStep.CUT
 
 
-def test_cut_off_host_gives_up_soon():
+def test_unreachable_endpoints_end_the_retries():
     outcomes = [Outcome.UNREACHED] * attempts.MAX_UNREACHED
     assert not attempts.may_retry(make_route(), make_history(*outcomes))
 
@@ -74,7 +74,7 @@
     repeatable=st.booleans(),
     max_attempts=st.integers(0, 4),
 )
-def test_promises_hold_for_any_run_of_outcomes(
+def test_guarantees_hold_for_any_sequence_of_outcomes(
     outcomes, repeatable, max_attempts
 ):
     kind = routing.RequestKind
--- a/packages/bulrushgrade/tests/test_cost.py
+++ b/packages/bulrushgrade/tests/test_cost.py
@@ -21,7 +21,7 @@
     assert 0.3 < fit.predict(8000.0) < 2.0
 
 
-def test_samples_that_waited_unseen_do_not_make_reading_dear():
+def test_unseen_waits_do_not_raise_the_prefill_cost():
     """Every second reading meets work that another host had just placed.
 
     Taken as reading time, the waits made the plan think that the fleet reads
--- a/packages/bulrushgrade/tests/test_ejection.py
+++ b/packages/bulrushgrade/tests/test_ejection.py
@@ -11,7 +11,7 @@
     return fleet
 
 
-def test_slow_endpoint_is_taken_out_probed_and_put_back():
+def test_slow_endpoint_is_ejected_probed_and_restored():
     """One engine of four answers four times slower.
 
     Callers see one request in four late. It is taken out; the first probe is
@@ -35,7 +35,7 @@
     assert slow.usable(17.0)
 
 
-def test_never_more_than_a_part_is_out():
+def test_at_most_half_are_ejected_for_failures():
     fleet = _fleet(6)
     for health in fleet:
         for _ in range(ejection.CONSECUTIVE_FAILURES):
@@ -45,7 +45,7 @@
     assert len(out) == 3
 
 
-def test_never_more_than_a_third_is_out_for_slowness():
+def test_at_most_a_third_are_ejected_for_slowness():
     fleet = _fleet(9)
     for health in fleet[:4]:
         for _ in range(30):
--- a/packages/bulrushgrade/tests/test_lane.py
+++ b/packages/bulrushgrade/tests/test_lane.py
@@ -33,7 +33,7 @@
     assert queue.work_ahead_s(100.0) == 10.0
 
 
-def test_lanes_take_turns_and_an_idle_one_saves_nothing():
+def test_idle_lane_accumulates_no_credit():
     queue = lane.ServiceQueue()
     queue.add(_item("a", 1.0))
     queue.lanes[lane.LaneName.SHORT].used_s = 50.0
@@ -41,6 +41,6 @@
     assert queue.lanes[lane.LaneName.LONG].used_s == 50.0
 
 
-def test_long_reading_has_its_own_lane():
+def test_long_prefill_has_its_own_lane():
     assert lane.lane_for(0.1) is lane.LaneName.SHORT
     assert lane.lane_for(2.0) is lane.LaneName.LONG
--- a/packages/bulrushgrade/tests/test_limit.py
+++ b/packages/bulrushgrade/tests/test_limit.py
@@ -3,7 +3,7 @@
 from bulrushgrade import limit
 
 
-def test_lateness_lowers_once_an_interval_down_to_the_floor():
+def test_lateness_lowers_the_limit_once_an_interval():
     made = limit.ConcurrencyLimit(ceiling=64.0)
     made.observe(late=True, running=64.0, now=0.0)
     made.observe(late=True, running=64.0, now=0.1)
@@ -14,7 +14,7 @@
     assert made.admits(1.0)
 
 
-def test_limit_grows_only_where_it_is_used():
+def test_limit_grows_only_when_it_is_used():
     made = limit.ConcurrencyLimit(ceiling=64.0, value=10.0)
     made.observe(late=False, running=1.0, now=0.0)
     assert made.value == 10.0
--- a/packages/bulrushgrade/tests/test_load.py
+++ b/packages/bulrushgrade/tests/test_load.py
@@ -13,7 +13,7 @@
     return work.LoadReport(endpoint="e", running=running, age_s=age_s, **more)
 
 
-def test_idle_looking_report_is_not_believed_over_what_was_just_sent():
+def test_stale_idle_report_does_not_hide_own_requests():
     item = _load()
     item.add_own(load.Amount(running=3.0), 10.0)
     item.apply_report(_report(0, 1.0), 10.2)
@@ -28,7 +28,7 @@
     assert item.total.running == 5.0
 
 
-def test_peer_that_is_heard_after_the_report_is_not_counted_twice():
+def test_peer_heard_after_the_report_is_not_counted_twice():
     """A peer places work, the engine reports it, then the peer tells of it.
 
     Counted as a stranger's and as the peer's, one busy engine looked twice
@@ -41,7 +41,7 @@
     assert item.total.running == 4.0
 
 
-def test_work_of_hosts_that_are_not_heard_shows_by_the_report():
+def test_report_adds_work_of_unheard_hosts():
     item = _load()
     item.add_own(load.Amount(running=1.0), 5.0)
     item.apply_report(_report(6, 0.5, prefill_backlog_tokens=900), 10.0)
@@ -51,7 +51,7 @@
     assert item.total.running == 6.0
 
 
-def test_new_role_forgets_what_was_learned():
+def test_new_role_resets_learned_ratios():
     item = _load()
     item.step_ratio = 3.0
     changed = work.Endpoint(address="e", model="m", role=work.Role.DECODE)
--- a/packages/bulrushgrade/tests/test_placement.py
+++ b/packages/bulrushgrade/tests/test_placement.py
@@ -30,26 +30,26 @@
     return placement.PlacementRequest(work=wanted, short=prompt < 3000)
 
 
-def _choose(among, ask, seed=1):
-    return placement.choose(among, ask, rng=random.Random(seed), now=0.0)
+def _choose(candidates, ask, seed=1):
+    return placement.choose(candidates, ask, rng=random.Random(seed), now=0.0)
 
 
-def _busy(among, address, amount):
-    among.loads[address].add_own(amount, 0.0)
-    among.refresh(address)
+def _busy(candidates, address, amount):
+    candidates.loads[address].add_own(amount, 0.0)
+    candidates.refresh(address)
 
 
 def test_cached_prefix_wins_until_its_engine_is_busy():
-    among = _pool(4)
+    candidates = _pool(4)
     hashes = tuple(range(90))
-    among.prefixes.add(hashes, "e2")
+    candidates.prefixes.add(hashes, "e2")
     ask = _ask(prompt=6000, hashes=hashes)
-    assert _choose(among, ask).endpoint.endpoint.address == "e2"
-    _busy(among, "e2", load.Amount(30.0, 20_000.0, 60_000.0))
-    assert _choose(among, ask).endpoint.endpoint.address != "e2"
+    assert _choose(candidates, ask).endpoint.endpoint.address == "e2"
+    _busy(candidates, "e2", load.Amount(30.0, 20_000.0, 60_000.0))
+    assert _choose(candidates, ask).endpoint.endpoint.address != "e2"
 
 
-def test_hosts_with_the_same_stale_view_do_not_herd():
+def test_hosts_with_the_same_stale_view_spread_their_requests():
     """Nine hosts see forty equal engines and each has one long reading.
 
     If all took the first of the same order, one engine would get all nine.
@@ -63,10 +63,12 @@
     assert max(chosen.values()) <= 3
 
 
-def test_full_memory_and_full_reading_block_for_their_reasons():
-    among = _pool(1)
-    _busy(among, "e0", load.Amount(2.0, 0.0, 99_000.0))
-    assert _choose(among, _ask()) is placement.BlockedReason.NO_PREFILL_ROOM
+def test_full_kv_cache_blocks_prefill_or_decode():
+    candidates = _pool(1)
+    _busy(candidates, "e0", load.Amount(2.0, 0.0, 99_000.0))
+    assert (
+        _choose(candidates, _ask()) is placement.BlockedReason.NO_PREFILL_ROOM
+    )
     split = _pool(2, role=work.Role.PREFILL)
     answering = work.Endpoint(
         address="d0",
@@ -81,17 +83,17 @@
 
 
 def test_work_that_would_end_late_is_held_back():
-    among = _pool(1)
-    among.loads["e0"].step_ratio = 100.0
-    assert _choose(among, _ask()) is placement.BlockedReason.LATE
+    candidates = _pool(1)
+    candidates.loads["e0"].step_ratio = 100.0
+    assert _choose(candidates, _ask()) is placement.BlockedReason.LATE
 
 
 def test_chat_avoids_the_engine_whose_tokens_come_slowly():
-    among = _pool(3)
+    candidates = _pool(3)
     for address in ("e0", "e1"):
-        among.loads[address].step_ratio = 4.0
+        candidates.loads[address].step_ratio = 4.0
     ask = _ask(between_tokens_s=0.05)
-    assert _choose(among, ask).decode.endpoint.address == "e2"
+    assert _choose(candidates, ask).decode.endpoint.address == "e2"
 
 
 def test_prefix_index_finds_the_longest_holders_and_is_bounded():
@@ -105,15 +107,17 @@
     assert len(index) == prefix.MAX_INDEXED_BLOCKS
 
 
-def test_ejected_engine_is_tried_when_no_other_is_left():
-    among = _pool(2)
+def test_ejected_engine_is_used_when_no_other_is_left():
+    candidates = _pool(2)
     for address in ("e0", "e1"):
-        among.loads[address].health.eject(0.0)
+        candidates.loads[address].health.eject(0.0)
     only_e1 = attrs.evolve(_ask(), avoid=frozenset({"e0"}))
-    assert _choose(among, only_e1).endpoint.endpoint.address == "e1"
+    assert _choose(candidates, only_e1).endpoint.endpoint.address == "e1"
     leaving = work.Endpoint(
         address="e1", model="m", state=work.EndpointState.LEAVING
     )
-    among.loads["e1"].update_endpoint(leaving)
-    among.refresh("e1")
-    assert _choose(among, only_e1) is placement.BlockedReason.NO_PREFILL_ROOM
+    candidates.loads["e1"].update_endpoint(leaving)
+    candidates.refresh("e1")
+    assert (
+        _choose(candidates, only_e1) is placement.BlockedReason.NO_PREFILL_ROOM
+    )
--- a/packages/bulrushgrade/tests/test_scheduler.py
+++ b/packages/bulrushgrade/tests/test_scheduler.py
@@ -55,7 +55,7 @@
     assert made.own_loads() == ()
 
 
-def test_split_roles_read_on_one_engine_and_answer_on_the_other():
+def test_split_roles_prefill_on_one_engine_and_decode_on_the_other():
     made = _scheduler(
         _engine(1, role=work.Role.PREFILL), _engine(2, role=work.Role.DECODE)
     )
@@ -91,7 +91,7 @@
     assert refused.retry_after_s > 0
 
 
-def test_saturation_queues_then_refuses_and_room_is_given_by_deadline():
+def test_saturation_queues_then_refuses_and_serves_by_deadline():
     made = _scheduler(_engine(1, slots=4))
     answers = [
         made.offer(_work(f"r{i}", deadline=30.0 - i % 7), 0.0)
@@ -111,7 +111,7 @@
     assert made.next_poll(60.0) is None
 
 
-def test_retry_avoids_the_failed_endpoint_and_the_budget_ends():
+def test_retry_avoids_the_failed_endpoint_until_the_budget_is_spent():
     made = _scheduler(_engine(1), _engine(2))
     outcomes = []
     for i in range(90):
@@ -136,7 +136,7 @@
     assert refused.code is work.RefusalCode.NOT_REPEATABLE
 
 
-def test_cancel_frees_what_was_booked():
+def test_cancel_releases_the_load():
     made = _scheduler(_engine(1, slots=1))
     made.offer(_work("a"), 0.0)
     made.offer(_work("b"), 0.0)
@@ -158,19 +158,19 @@
 def test_shared_prefix_goes_where_it_is_cached():
     made = _scheduler(*(_engine(i) for i in range(1, 6)))
     prefix = tuple(range(100))
-    homes = set()
+    endpoints = set()
     for i in range(10):
         placed = made.offer(
             _work(f"r{i}", prompt=6500, prefix=prefix), float(i)
         )
-        homes.add(placed.endpoint)
+        endpoints.add(placed.endpoint)
         made.first_token(f"r{i}", i + 0.3)
         made.tokens(f"r{i}", 50, i + 0.9)
         made.finished(f"r{i}", "complete", i + 0.9)
-    assert len(homes) == 1
+    assert len(endpoints) == 1
 
 
-def test_document_bounds_attempts_and_the_wait():
+def test_policy_limits_attempts_and_waiting_time():
     policy = work.ServicePolicy(
         service="grade", share=1.0, max_attempts=1, max_wait_s=0.5
     )
@@ -187,7 +187,7 @@
     assert late.code is work.RefusalCode.LATE
 
 
-def test_wait_of_a_service_without_a_bound_goes_by_its_deadline():
+def test_wait_without_a_policy_limit_ends_at_the_deadline():
     made = _scheduler(_engine(1, slots=1))
     made.offer(_work("first"), 0.0)
     assert isinstance(made.offer(_work("second"), 0.0), work.Queued)
@@ -203,7 +203,7 @@
     assert isinstance(made.offer(_work("a"), 0.0), work.Placed)
 
 
-def test_waiting_work_learns_that_engines_turned_slow():
+def test_queued_request_is_refused_when_engines_slow_down():
     # All engines take twice as long for a token as they were known to, and no
     # answer has ended yet. A caller that waits behind them was told nothing
     # until the latest start by the old pace, 2.4 s into its 4 s. The answers
--- a/packages/bulrushgrade/tests/test_scheduler_machine.py
+++ b/packages/bulrushgrade/tests/test_scheduler_machine.py
@@ -32,9 +32,11 @@
         self.placed: dict[str, work.Placed] = {}
         self.runs: dict[str, int] = {}
         self.once: set[str] = set()
-        self._see({name: (work.Role.MIXED, "serving") for name in ENGINES})
+        self._set_endpoints(
+            {name: (work.Role.MIXED, "serving") for name in ENGINES}
+        )
 
-    def _see(self, states):
+    def _set_endpoints(self, states):
         self.serving = {n for n, (_, s) in states.items() if s == "serving"}
         self.core.set_endpoints(
             tuple(
@@ -48,7 +50,7 @@
             self.now,
         )  # fmt: skip
 
-    def _settle(self, decision, now_placed=True):
+    def _record_decision(self, decision, now_placed=True):
         name = decision.request_id
         self.waiting.discard(name)
         if isinstance(decision, work.Queued):
@@ -80,7 +82,7 @@
             output_tokens=50, deadline=self.now + patience,
             repeatable=not once,
         )  # fmt: skip
-        self._settle(self.core.offer(item, self.now))
+        self._record_decision(self.core.offer(item, self.now))
 
     @stateful.rule(step=st.floats(min_value=0.0, max_value=5.0))
     def poll(self, step):
@@ -88,7 +90,7 @@
         for decision in self.core.poll(self.now):
             # It may have been placed before the view changed.
             assert decision.request_id in self.waiting
-            self._settle(decision, now_placed=False)
+            self._record_decision(decision, now_placed=False)
 
     @stateful.precondition(lambda self: self.placed)
     @stateful.rule(data=st.data(), way=st.integers(min_value=0, max_value=3))
@@ -99,7 +101,7 @@
             self.core.cancel(name, self.now)
         elif way == 1:
             again = self.core.retry(name, placed.endpoint, 7, self.now)
-            self._settle(again)
+            self._record_decision(again)
             if isinstance(again, work.Placed):
                 assert again.endpoint != placed.endpoint
         else:
@@ -122,16 +124,16 @@
             st.sampled_from(ENGINES), st.tuples(ROLES, STATES)
         )
     )
-    def see_fleet(self, states):
-        self._see(states)
+    def change_endpoints(self, states):
+        self._set_endpoints(states)
 
     @stateful.invariant()
-    def books_balance(self):
+    def dump_is_consistent(self):
         dump = self.core.dump()
         # A request that another's arrival settled is told of at the next poll.
         assert dump["waiting"] + dump["settled"] == len(self.waiting)
-        untold = dump["in_progress"] - len(self.placed)
-        assert 0 <= untold <= dump["settled"]
+        unreported = dump["in_progress"] - len(self.placed)
+        assert 0 <= unreported <= dump["settled"]
         known = dump["endpoints"]
         most = 2 * dump["in_progress"]
         assert sum(item.running for item in self.core.own_loads()) <= most
--- a/packages/bulrushgrade/tests/test_share.py
+++ b/packages/bulrushgrade/tests/test_share.py
@@ -31,16 +31,16 @@
     shares = _shares(a=part, b=1.0 - part)
     used = _run(shares, 3000, {"a": price, "b": 0.5})
     total = sum(used.values())
-    slack = 3.0 * max(price, 0.5) / total
-    assert used["a"] / total == pytest.approx(part, abs=0.02 + slack)
+    tolerance = 3.0 * max(price, 0.5) / total
+    assert used["a"] / total == pytest.approx(part, abs=0.02 + tolerance)
 
 
-def test_unused_share_is_lent_and_given_back_at_once():
+def test_unused_share_is_lent_and_returned_at_once():
     shares = _shares(a=0.5, b=0.5)
     _run(shares, 1000, {"a": 1.0})
     shares.activate("b", ["a", "b"])
     used = _run(shares, 200, {"a": 1.0, "b": 1.0})
-    kept = share.CREDIT_S * 0.5
+    kept = share.MAX_CREDIT_S * 0.5
     assert 100.0 <= used["b"] <= 100.0 + kept + 1.0
 
 
