--- a/packages/bulrushgrade/bulrushgrade/cost.py
+++ b/packages/bulrushgrade/bulrushgrade/cost.py
@@ -10,15 +10,15 @@
 
 from bulrushgrade import work
 
-MEMORY_SAMPLES = 300.0
+DECAY_SAMPLES = 300.0
 """Completions that a line remembers: a few minutes of a busy host, so that a
 new model version is learned within one shift of the mix."""
 
 SLOW_SAMPLE_WEIGHT = 0.03
-CUT_FACTOR = 2.0
-"""How samples above the line are taken by `LinearFit.learn_least`."""
+CLIP_FACTOR = 2.0
+"""How samples above the line are taken by `LinearFit.learn_clipped`."""
 
-PLAN_BATCH = 32
+PLANNING_BATCH = 32
 """Requests that share a decode step on an engine that is well used: a half
 of its slots, at which chats still get their tokens in time."""
 
@@ -55,24 +55,24 @@
 
     def learn(self, x: float, y: float, weight: float = 1.0) -> None:
         """Takes in one sample, a light one also forgetting less."""
-        keep = 1.0 - weight / MEMORY_SAMPLES
-        self._count = self._count * keep + weight
-        self._x = self._x * keep + weight * x
-        self._y = self._y * keep + weight * y
-        self._xx = self._xx * keep + weight * x * x
-        self._xy = self._xy * keep + weight * x * y
+        decay = 1.0 - weight / DECAY_SAMPLES
+        self._count = self._count * decay + weight
+        self._x = self._x * decay + weight * x
+        self._y = self._y * decay + weight * y
+        self._xx = self._xx * decay + weight * x * x
+        self._xy = self._xy * decay + weight * x * y
         self._line = None
 
-    def learn_least(self, x: float, y: float) -> None:
+    def learn_clipped(self, x: float, y: float) -> None:
         """Takes in a sample that may have waited for what was not seen.
 
         What lies above the line counts little and is cut off at twice the
         line: the line then follows the quick samples (an expectile), which
         met least that other hosts had placed and not told of yet.
         """
-        most = CUT_FACTOR * self.at(x)
-        weight = 1.0 if y <= self.at(x) else SLOW_SAMPLE_WEIGHT
-        self.learn(x, min(y, most), weight)
+        ceiling = CLIP_FACTOR * self.predict(x)
+        weight = 1.0 if y <= self.predict(x) else SLOW_SAMPLE_WEIGHT
+        self.learn(x, min(y, ceiling), weight)
 
     def line(self) -> tuple[float, float]:
         """Returns the intercept and slope; the slope is above zero."""
@@ -80,18 +80,18 @@
             self._line = self._solve()
         return self._line
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Returns the predicted value at x."""
         intercept, slope = self.line()
         return intercept + slope * x
 
     def _solve(self) -> tuple[float, float]:
-        far = self.intercept + self.slope * self.span
+        prior_y = self.intercept + self.slope * self.span
         count = self._count + 2.0
         x = self._x + self.span
-        y = self._y + self.intercept + far
+        y = self._y + self.intercept + prior_y
         xx = self._xx + self.span * self.span
-        xy = self._xy + self.span * far
+        xy = self._xy + self.span * prior_y
         slope = (count * xy - x * y) / (count * xx - x * x)
         slope = max(slope, 0.0)
         return max((y - slope * x) / count, 0.0), max(slope, 1e-9)
@@ -121,11 +121,11 @@
 
     def first_token_s(self, tokens: float) -> float:
         """Returns the seconds to the first token behind these tokens."""
-        return self.first.at(tokens)
+        return self.first.predict(tokens)
 
     def step_s(self, running: float) -> float:
         """Returns the seconds between tokens at this many requests."""
-        return self.step.at(running)
+        return self.step.predict(running)
 
     def engine_s(self, prefill_tokens: float, output_tokens: float) -> float:
         """Prices work in seconds of one engine's time."""
@@ -134,7 +134,7 @@
 
     def kv_token_s(self, item: work.Work) -> float:
         """Returns the KV memory of an answer times how long it holds it."""
-        held_s = item.output_tokens * self.step_s(PLAN_BATCH)
+        held_s = item.output_tokens * self.step_s(PLANNING_BATCH)
         return (item.prompt_tokens + item.output_tokens) * held_s
 
     def price_s(
--- a/packages/bulrushgrade/bulrushgrade/queueing.py
+++ b/packages/bulrushgrade/bulrushgrade/queueing.py
@@ -13,22 +13,22 @@
 from bulrushgrade import lane
 from bulrushgrade import share
 
-MAX_PART = 0.95
+MAX_CHARGE_WEIGHT = 0.95
 """Weight of what alone is scarce; the other is never quite free, or a flood
 of it would cost nothing until it is scarce too."""
 
-BLOCKED_WEIGHT = 0.02
+SCARCITY_SMOOTHING = 0.02
 """Weight of one attempt that found no room: some tens of them, a few seconds
 of a full fleet, to tell what is scarce."""
 
-LEAD_S = 10.0
+MAX_LEAD_S = 10.0
 """Virtual seconds by which a service may get ahead of one that waits for
 room. A shorter lead leaves engines idle at full load, as small work is held
 back that needs nothing of what the large waits for; a longer one lets small
 work take the large work's share at four times the load."""
 
 
-LatestStart = Callable[[lane.Waiting], float]
+LatestStart = Callable[[lane.QueuedWork], float]
 """Returns when an item has to be placed to be in time."""
 
 
@@ -41,8 +41,8 @@
     """
 
     shares: share.Shares = attrs.field(factory=share.Shares)
-    _drains: dict[str, admission.DrainRate] = attrs.field(factory=dict)
-    _reading_part: float = 0.5
+    _drain_rates: dict[str, admission.DrainRate] = attrs.field(factory=dict)
+    _prefill_weight: float = 0.5
     _queues: dict[str, lane.ServiceQueue] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
@@ -57,37 +57,39 @@
         """Returns the services that have work waiting."""
         return [name for name, queue in self._queues.items() if len(queue)]
 
-    def add(self, item: lane.Waiting, now: float) -> None:
+    def add(self, item: lane.QueuedWork, now: float) -> None:
         """Queues an item."""
         service = item.work.service
         queue = self._queues.setdefault(service, lane.ServiceQueue())
         if not len(queue):
             self.shares.activate(service, self.active())
         queue.add(item)
-        self._drain(service).note(busy=True, now=now)
+        self._drain_rate(service).note(busy=True, now=now)
 
     def remove(
-        self, item: lane.Waiting, now: float, *, placed_s: float = 0.0
+        self, item: lane.QueuedWork, now: float, *, placed_s: float = 0.0
     ) -> None:
         """Takes an item out, with its price if it was placed."""
         service = item.work.service
         queue = self._queues[service]
         queue.lanes[item.lane].remove(item)
-        self._drain(service).note(
+        self._drain_rate(service).note(
             busy=bool(len(queue)), now=now, placed_s=placed_s
         )
 
-    def place(self, item: lane.Waiting, now: float) -> None:
+    def place(self, item: lane.QueuedWork, now: float) -> None:
         """Takes out an item that was placed, and books it."""
         service = item.work.service
         self.remove(item, now, placed_s=item.engine_s)
-        part = self._reading_part
-        answering_s = item.engine_s - item.reading_s
-        charge = 2.0 * (part * item.reading_s + (1.0 - part) * answering_s)
+        part = self._prefill_weight
+        decode_work_s = item.engine_s - item.prefill_work_s
+        charge = 2.0 * (
+            part * item.prefill_work_s + (1.0 - part) * decode_work_s
+        )
         self.shares.charge(service, charge)
         self._queues[service].lanes[item.lane].used_s += charge
 
-    def note_blocked(self, *, reading: bool) -> None:
+    def observe_blocked(self, *, prefill_bound: bool) -> None:
         """Notes what waiting work had no room for.
 
         Services are charged for what is scarce. While engines that read are
@@ -95,20 +97,22 @@
         loss: charged in full they held chats back for nothing, and a fleet
         at its capacity refused a third of them.
         """
-        target = MAX_PART if reading else 1.0 - MAX_PART
-        self._reading_part += BLOCKED_WEIGHT * (target - self._reading_part)
+        target = MAX_CHARGE_WEIGHT if prefill_bound else 1.0 - MAX_CHARGE_WEIGHT
+        self._prefill_weight += SCARCITY_SMOOTHING * (
+            target - self._prefill_weight
+        )
 
-    def heads(self) -> Iterator[lane.Waiting]:
+    def heads(self) -> Iterator[lane.QueuedWork]:
         """Yields the next item of each lane, in the order of turns."""
         for service in self.shares.order(self.active()):
-            for waiting in self._queues[service].turns():
+            for waiting in self._queues[service].lanes_by_usage():
                 head = waiting.head()
                 if head is not None:
                     yield head
 
     def take_expired(
         self, now: float, latest_start: LatestStart
-    ) -> Iterator[lane.Waiting]:
+    ) -> Iterator[lane.QueuedWork]:
         """Removes and yields the items that can't be in time any more.
 
         Args:
@@ -123,7 +127,7 @@
 
     def wait_s(
         self,
-        item: lane.Waiting,
+        item: lane.QueuedWork,
         *,
         engines: float,
         now: float,
@@ -139,14 +143,14 @@
         queue = self._queues.get(service)
         if queue is None or not len(queue):
             return 0.0
-        ahead = queue.ahead_s(item)
+        ahead = queue.work_ahead_s(item)
         total = sum(self.shares.share(name) for name in self.active())
         expected = engines * self.shares.share(service) / total
-        rate = self._drain(service).rate(expected, now)
+        rate = self._drain_rate(service).rate(expected, now)
         return ahead / max(rate, 1e-3)
 
-    def _drain(self, service: str) -> admission.DrainRate:
-        return self._drains.setdefault(service, admission.DrainRate())
+    def _drain_rate(self, service: str) -> admission.DrainRate:
+        return self._drain_rates.setdefault(service, admission.DrainRate())
 
     def dump(self) -> dict[str, dict[str, float]]:
         """Returns the queues' lengths for a person."""
@@ -156,18 +160,18 @@
         }
 
 
-Try = Callable[[lane.Waiting], bool]
+TryPlace = Callable[[lane.QueuedWork], bool]
 
 
-def dispatch(queue: PoolQueue, attempt: Try, now: float) -> None:
+def dispatch(queue: PoolQueue, attempt: TryPlace, now: float) -> None:
     """Places what can be placed, in the order of turns.
 
     A head that finds no room doesn't hold up the other lanes at once: a
     reading that waits for an engine must not stop chats that need none. But
     whoever overtakes a service that is behind its share may get ahead of it
-    by `LEAD_S` only. Without that bound small requests fill every gap before
-    it is large enough for a reading, and the readings' team gets a fifth of
-    what it is guaranteed.
+    by `MAX_LEAD_S` only. Without that bound small requests fill every gap
+    before it is large enough for a reading, and the readings' team gets a
+    fifth of what it is guaranteed.
 
     Each round either places one item or ends, and costs one attempt a lane.
 
@@ -183,8 +187,8 @@
         for head in list(queue.heads()):
             if head.not_before > now:
                 continue
-            used = queue.shares.used(head.work.service)
-            if blocked is not None and used > blocked + LEAD_S:
+            used = queue.shares.virtual_time_s(head.work.service)
+            if blocked is not None and used > blocked + MAX_LEAD_S:
                 break
             if attempt(head):
                 placed = True
--- a/packages/bulrushgrade/bulrushgrade/share.py
+++ b/packages/bulrushgrade/bulrushgrade/share.py
@@ -15,13 +15,13 @@
 """Share of a service that is guaranteed nothing: it lives on what is lent,
 and a zero would divide by zero."""
 
-CREDIT_S = 15.0
+MAX_CREDIT_S = 15.0
 """Virtual seconds that a service keeps of what it is owed when its queue runs
 empty. Few readings arrive at one host, so their queue is empty between two
 of them; forgetting all of it each time left their team two thirds of its
 share under full load. More would let a silent service shut out the others."""
 
-BUCKET_S = 2.0
+BURST_S = 2.0
 """Seconds of its own share that a service which does not borrow may save;
 less would cut short bursts that its share covers."""
 
@@ -30,9 +30,9 @@
 class _Account:
     share: float
     borrow: bool
-    used: float = 0.0
-    saved: float = 0.0
-    saved_at: float = 0.0
+    virtual_time_s: float = 0.0
+    burst_s: float = 0.0
+    refilled_at: float = 0.0
 
 
 class Shares:
@@ -40,14 +40,17 @@
 
     def __init__(self):
         self._accounts: dict[str, _Account] = {}
-        self._floor = 0.0
+        self._min_virtual_time_s = 0.0
 
     def set_share(self, service: str, share: float, borrow: bool) -> None:
         """Adds a service or changes its share."""
         account = self._accounts.get(service)
         if account is None:
             account = _Account(
-                share=share, borrow=borrow, used=self._floor, saved=BUCKET_S
+                share=share,
+                borrow=borrow,
+                virtual_time_s=self._min_virtual_time_s,
+                burst_s=BURST_S,
             )
             self._accounts[service] = account
         account.share = max(share, MIN_SHARE)
@@ -58,9 +61,9 @@
         account = self._accounts.get(service)
         return account.share if account else MIN_SHARE
 
-    def used(self, service: str) -> float:
+    def virtual_time_s(self, service: str) -> float:
         """Returns a service's virtual time in seconds."""
-        return self._accounts[service].used
+        return self._accounts[service].virtual_time_s
 
     def activate(self, service: str, active: Iterable[str]) -> None:
         """Notes that a service starts to ask again.
@@ -71,21 +74,30 @@
         """
         account = self._accounts[service]
         others = [
-            self._accounts[name].used for name in active if name != service
+            self._accounts[name].virtual_time_s
+            for name in active
+            if name != service
         ]
-        floor = min(others) if others else self._floor
-        account.used = max(account.used, floor - CREDIT_S)
+        min_virtual_time_s = min(others) if others else self._min_virtual_time_s
+        account.virtual_time_s = max(
+            account.virtual_time_s, min_virtual_time_s - MAX_CREDIT_S
+        )
 
     def charge(self, service: str, engine_s: float) -> None:
         """Books engine seconds on a service."""
         account = self._accounts[service]
-        account.used += engine_s / account.share
-        account.saved -= engine_s
-        self._floor = max(self._floor, account.used - 1.0 / account.share)
+        account.virtual_time_s += engine_s / account.share
+        account.burst_s -= engine_s
+        self._min_virtual_time_s = max(
+            self._min_virtual_time_s,
+            account.virtual_time_s - 1.0 / account.share,
+        )
 
     def order(self, services: Iterable[str]) -> list[str]:
         """Sorts services, the furthest behind its share first."""
-        return sorted(services, key=lambda name: self._accounts[name].used)
+        return sorted(
+            services, key=lambda name: self._accounts[name].virtual_time_s
+        )
 
     def may_run(self, service: str, engines: float, now: float) -> bool:
         """Returns whether a service that does not borrow has time left.
@@ -99,14 +111,14 @@
         if account.borrow:
             return True
         rate = account.share * engines
-        elapsed = max(0.0, now - account.saved_at)
-        account.saved_at = now
-        account.saved = min(account.saved + elapsed * rate, BUCKET_S * rate)
-        return account.saved > 0.0
+        elapsed = max(0.0, now - account.refilled_at)
+        account.refilled_at = now
+        account.burst_s = min(account.burst_s + elapsed * rate, BURST_S * rate)
+        return account.burst_s > 0.0
 
     def dump(self) -> dict[str, dict[str, float]]:
         """Returns each service's account for a person."""
         return {
-            name: {"share": a.share, "used": round(a.used, 3)}
+            name: {"share": a.share, "used": round(a.virtual_time_s, 3)}
             for name, a in self._accounts.items()
         }
