--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/storeview.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/storeview.py
@@ -172,11 +172,11 @@
     def _note_change(self, change: directory_module.Change | None) -> None:
         if change is None:
             return
-        now = change.now
+        now = change.current
         self._log.note(
             "endpoint_changed",
             endpoint=change.id,
-            service=(now or change.was).service,
+            service=(now or change.previous).service,
             address=f"{now.host}:{now.port}" if now else None,
             state=now.state.value if now else "gone",
             born_ms=now.born_ms if now else None,
