--- a/packages/bulrushgrade/bulrushgrade/admission.py
+++ b/packages/bulrushgrade/bulrushgrade/admission.py
@@ -1,9 +1,9 @@
-"""Whether work can still be in time, and if not, when it could be.
+"""Admission control by predicted completion, and the time to retry.
 
-Load: more work than the fleet can finish by its deadlines. Harm: accepted
-work that ends late has used the time of work that would have been in time,
-so that a fleet at twice its load delivers nothing. What can't be in time is
-refused at once, while its caller can still do something else.
+When there is more work than the fleet can finish by its deadlines, accepted
+work that ends late has used the time of work that would have been in time, so
+that a fleet at twice its load completes nothing in time. Work that can't be in
+time is refused at once, while its caller can still react.
 """
 
 from collections.abc import Callable
@@ -17,36 +17,36 @@
 from bulrushgrade import work
 
 DEADLINE_FRACTION = 1.0
-"""Part of the time to its deadline that work may be predicted to take."""
+"""Fraction of the time to its deadline that work may be predicted to take."""
 
 MIN_RETRY_AFTER_S = 0.5
-"""Sooner than this nothing will have changed at the hosts."""
+"""Lower bound of the retry time: sooner, the load has not changed."""
 
 MAX_RETRY_AFTER_S = 60.0
-"""A prediction further out than this says nothing any more."""
+"""Upper bound of the retry time: longer predictions are unreliable."""
 
 RATE_WINDOW_S = 4.0
-"""Time constant of the drain rate: long enough to hold a few long readings,
-short enough to follow a lost engine within its callers' patience."""
+"""Time constant of the drain rate: long enough to include a few long prefills,
+short enough to follow the loss of an engine before callers give up."""
 
 PRIOR_WEIGHT_S = 1.0
-"""Seconds of a queue's life that the expected rate counts for."""
+"""Weight of the expected rate, as seconds of observation."""
 
 
 LatenessPredictor = Callable[[lane.QueuedWork, float, float], float]
-"""Returns by how much work with a predicted wait would be late by now."""
+"""Returns the seconds by which work with a predicted wait would be late."""
 
 WAIT_WEIGHT = 0.7
-"""Part of a predicted wait that refuses work. Predicted waits err to the long
-side, as other services leave part of their turns unused; work that was let in
-wrongly is still refused unrun, at its latest start, which harms its caller
-less than a refusal beside engines that could have served it."""
+"""Weight of a predicted wait at admission. Predicted waits are too long, as
+other services leave part of their shares unused. Work that was admitted in
+error is still refused before it runs, at its latest start, which is better for
+its caller than a refusal while engines could have served it."""
 
 NO_ENDPOINT_RETRY_S = 2.0
-"""When to come back while no endpoint is in service: about a role change."""
+"""Retry time while no endpoint is serving: about the time of a role change."""
 
 QUEUE_FULL_RETRY_S = 1.0
-"""When to come back to a full queue: a few of its requests later."""
+"""Retry time of a full queue: a few requests leave it in this time."""
 
 _RETRY_S = {
     work.RefusalCode.QUEUE_FULL: QUEUE_FULL_RETRY_S,
@@ -68,11 +68,11 @@
 
 @attrs.define(kw_only=True)
 class DrainRate:
-    """Engine seconds that a queue gets placed in a second, while it has work.
+    """Engine seconds per second that a queue gets placed while it has work.
 
-    Time without work waiting does not count: a rate over all time is that of
-    the callers, so that a queue after a quiet minute would look slow, and
-    work would be refused that is in time.
+    Time with an empty queue does not count. A rate over all time would be the
+    arrival rate: a queue after a quiet minute would look slow, and work that
+    can be in time would be refused.
     """
 
     _placed_s: float = 0.0
@@ -81,7 +81,7 @@
     _busy: bool = False
 
     def note(self, *, busy: bool, now: float, placed_s: float = 0.0) -> None:
-        """Takes in whether work waits from now on, and what was placed."""
+        """Records what was placed, and whether work is queued from now on."""
         elapsed = max(0.0, now - self._at) if self._busy else 0.0
         keep = math.exp(-elapsed / RATE_WINDOW_S)
         self._busy_s = self._busy_s * keep + elapsed
@@ -91,7 +91,7 @@
         self._at, self._busy = now, busy
 
     def rate(self, expected: float, now: float) -> float:
-        """Returns the rate, drawn to `expected` while little was seen."""
+        """Returns the rate, weighted with `expected` at the start."""
         self.note(busy=self._busy, now=now)
         placed_s_with_prior = self._placed_s + expected * PRIOR_WEIGHT_S
         return placed_s_with_prior / (self._busy_s + PRIOR_WEIGHT_S)
@@ -104,15 +104,15 @@
     tokens_done: int = 0,
     step_ratio: float = 1.0,
 ) -> float:
-    """Returns when work has to be placed, on an idle engine, to be in time.
+    """Returns the time by which work must be placed, on an idle engine.
 
     Args:
         item: The work.
-        model: What its endpoints cost.
-        uncached_tokens: Prompt tokens that are still to be read.
-        tokens_done: Tokens of the answer that the caller already has.
-        step_ratio: Observed to predicted time between tokens, at the engine
-            that is quickest now.
+        model: Cost model of its endpoints.
+        uncached_tokens: Prompt tokens that have to be prefilled.
+        tokens_done: Number of tokens that the caller already received.
+        step_ratio: Observed to predicted time between tokens at the engine that
+            is fastest now.
     """
     if not item.model:
         return item.deadline - model.plain_s
@@ -130,16 +130,16 @@
 def lateness_s(
     item: work.Work, first_token_s: float, finish_s: float, now: float
 ) -> float:
-    """Returns by how much predicted times miss the work's deadlines.
+    """Returns by how much work is predicted to miss its deadlines.
 
     Args:
         item: The work.
         first_token_s: Predicted seconds until the first token.
         finish_s: Predicted seconds until the end of the answer.
-        now: The present time.
+        now: The current time.
 
     Returns:
-        Seconds, zero or less when it will be in time.
+        Seconds; zero or less if it will be in time.
     """
     late = finish_s / DEADLINE_FRACTION - (item.deadline - now)
     if item.first_token_deadline is not None:
@@ -151,15 +151,15 @@
 
 
 def retry_after_s(late_s: float, rng: random.Random) -> float:
-    """Returns when refused work should come back.
+    """Returns the seconds after which refused work should be sent again.
 
-    By how much it missed is how long the queue needs to drain until the same
-    work fits. The spread above it keeps callers that were refused together
-    from coming back together; none is told a time before it could fit.
+    The queue needs about as long as the work was late until the same work fits.
+    A random factor above that keeps callers that were refused together from
+    returning together; none is told a time at which it could not fit yet.
 
     Args:
-        late_s: By how much it would have missed its deadline.
-        rng: Source of the spread.
+        late_s: Seconds by which it would have missed its deadline.
+        rng: Source of the random factor.
     """
     wait = max(late_s, MIN_RETRY_AFTER_S) * rng.uniform(1.0, 1.5)
     return min(wait, MAX_RETRY_AFTER_S)
@@ -168,11 +168,11 @@
 def predicted_lateness_s(
     item: lane.QueuedWork, wait_s: float, now: float
 ) -> float:
-    """Judges an admission by the predicted completion.
+    """Returns the predicted lateness of work that is to be queued.
 
     Returns:
-        By how many seconds the work would miss its deadline; it is refused
-        when that is above zero.
+        Seconds by which the work would miss its deadline; it is refused if
+        that is above zero.
     """
     return now + WAIT_WEIGHT * wait_s - item.latest_start
 
@@ -187,10 +187,10 @@
 
     Args:
         item: The work.
-        code: The kind of reason.
-        late_s: By how much it would have missed its deadline, where that is
+        code: The reason code.
+        late_s: Seconds by which it would have missed its deadline, if that is
             the reason.
-        rng: Source of the spread of its return.
+        rng: Source of the random factor of the retry time.
     """
     return work.Refused(
         request_id=item.request_id,
--- a/packages/bulrushgrade/bulrushgrade/answer.py
+++ b/packages/bulrushgrade/bulrushgrade/answer.py
@@ -1,9 +1,9 @@
-"""Puts one answer together from the events of one or more attempts.
+"""Assembles one answer from the events of one or more attempts.
 
-A stream may break and go on at another engine, an engine may repeat an event,
-and a late event of an abandoned attempt may still arrive. The caller must get
-every token once and in order, and must be able to tell a whole answer from a
-cut one.
+A stream may break and continue at another engine, an engine may repeat an
+event, and an event of an abandoned attempt may arrive late. The caller must get
+every token exactly once and in order, and must be able to tell a complete
+answer from a truncated one.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class EventAction(enum.Enum):
-    """What to do with one event of a stream."""
+    """What to do with an event of a stream."""
 
     DELIVER = "deliver"
     DROP = "drop"
@@ -21,14 +21,16 @@
 
 @attrs.define(kw_only=True)
 class Answer:
-    """The state of an answer on its way to its caller.
+    """The state of an answer that is streamed to its caller.
 
     Attributes:
-        tokens: How many tokens have been delivered.
-        finished: Whether the event with the reason for finishing was seen.
-        ended: Whether the end marker was seen after that.
-        duplicates: Events dropped because their token was delivered before.
-        foreign_events: Events dropped because they belong to another attempt.
+        tokens: Number of delivered tokens.
+        finished: Whether the event with the finish reason was received.
+        ended: Whether the end marker was received after that.
+        duplicates: Number of events dropped because their token was already
+            delivered.
+        foreign_events: Number of events dropped because they belong to another
+            attempt.
     """
 
     tokens: int = 0
@@ -40,17 +42,17 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the caller has the whole answer."""
+        """Whether the caller has received the complete answer."""
         return self.finished and self.ended
 
     def begin(self, attempt_id: str) -> int:
-        """Makes an attempt the only one whose events count.
+        """Starts an attempt; events of other attempts are dropped from now on.
 
         Args:
-            attempt_id: The id that its events carry.
+            attempt_id: Id that its events carry.
 
         Returns:
-            How many tokens the attempt is to leave out.
+            The number of tokens that the attempt has to skip.
         """
         self._attempt_id = attempt_id
         self.finished = False
@@ -60,18 +62,17 @@
     def take(
         self, attempt_id: str, index: int, *, has_token: bool, finish: bool
     ) -> EventAction:
-        """Judges one event.
+        """Decides what to do with an event.
 
         Args:
-            attempt_id: The attempt that the event says it belongs to.
-            index: The number of its token, counted from 0.
+            attempt_id: Id of the attempt that the event carries.
+            index: Index of its token, from 0.
             has_token: Whether it carries a token.
-            finish: Whether it carries the reason for finishing.
+            finish: Whether it carries the finish reason.
         """
-        # Failure guarded against: answers crossed between two requests, as
-        # after a connection was given to a second request too early. It shows
-        # as an event with another attempt's id, which only its own caller
-        # may see.
+        # An event with another attempt's id belongs to an abandoned attempt or,
+        # if a connection was reused too early, to the answer of another
+        # request. It must not reach this caller.
         if attempt_id != self._attempt_id:
             self.foreign_events += 1
             return EventAction.DROP
@@ -81,9 +82,9 @@
         if has_token and index < self.tokens:
             self.duplicates += 1
             return EventAction.DROP
-        # A number that jumps means that an event was lost on the way. Going
-        # on would leave a hole in the answer; the attempt is given up and the
-        # answer resumed from the last token delivered.
+        # A gap in the indexes means that an event was lost. The attempt is
+        # abandoned and the answer resumes after the last delivered token, as
+        # continuing would leave a gap in the answer.
         if has_token and index > self.tokens:
             return EventAction.BROKEN
         self.tokens += int(has_token)
@@ -91,10 +92,10 @@
         return EventAction.DELIVER
 
     def end(self) -> bool:
-        """Notes the end marker; returns whether the answer is whole.
+        """Notes the end marker; returns whether the answer is complete.
 
-        A marker that comes before the reason for finishing belongs to a cut
-        answer and does not make it whole.
+        A marker before the finish reason belongs to a truncated answer and does
+        not complete it.
         """
         self.ended = self.finished
         return self.whole
--- a/packages/bulrushgrade/bulrushgrade/attempts.py
+++ b/packages/bulrushgrade/bulrushgrade/attempts.py
@@ -1,8 +1,8 @@
-"""What follows an attempt at an endpoint: the answer, another try, an end.
+"""Decides what follows an attempt: a retry or the end of the request.
 
-The decision keeps three promises: what may not be repeated runs at most once;
-a refusal that says that nothing ran is true; and a caller never gets part of
-one run joined to part of another, unless the stream may be resumed.
+Three rules hold: a request that is not repeatable runs at most once; a refusal
+that says that nothing ran is true; and a caller never receives parts of two
+different runs, unless the stream is resumable.
 """
 
 import enum
@@ -16,10 +16,10 @@
     """How an attempt ended.
 
     UNREACHED means that no byte of the request was written. TURNED_AWAY and
-    MISDIRECTED mean that the endpoint itself says that it did not run it.
-    UNREAD means that an engine which was to read the prompt for another gave
-    no answer that can be used; reading is not a run. LOST means that the
-    request was written and no whole answer came.
+    MISDIRECTED mean that the endpoint reports that it did not run the request.
+    UNREAD means that an engine that was to prefill the prompt for another gave
+    no usable answer; a prefill is not a run. LOST means that the request was
+    written and no complete answer arrived.
     """
 
     UNREACHED = "unreached"
@@ -42,10 +42,11 @@
 
 
 class NextStep(enum.Enum):
-    """What to do next.
+    """What to do with the request.
 
     RELAY passes the endpoint's own failure on. REFUSE says that nothing ran.
-    FAIL promises nothing. CUT ends an answer that has begun as incomplete.
+    FAIL makes no statement about that. CUT ends an answer in progress as
+    incomplete.
     """
 
     RETRY = "retry"
@@ -56,20 +57,21 @@
 
 
 MAX_UNREACHED = 4
-"""Endpoints that may prove unreachable for one request. More than that in a
-row means that this host is cut off, and the caller had better go elsewhere."""
+"""Largest number of unreachable endpoints for one request. More than that in a
+row mean that this host is disconnected, and the caller should use another host.
+"""
 
 
 @attrs.define(kw_only=True)
 class AttemptHistory:
-    """What has happened to one request so far.
+    """The attempts of one request so far.
 
     Attributes:
-        arrivals: Attempts that reached an endpoint.
-        runs: Attempts that may have run.
-        unreached: Attempts that reached nobody.
-        begun: Whether part of an answer has gone to the caller.
-        last: How the last attempt ended.
+        arrivals: Number of attempts that reached an endpoint.
+        runs: Number of attempts that may have run.
+        unreached: Number of attempts that reached no endpoint.
+        begun: Whether a part of an answer was sent to the caller.
+        last: Outcome of the last attempt.
     """
 
     arrivals: int = 0
@@ -80,11 +82,11 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a refusal that says not run could be false."""
+        """Whether an attempt may have run, so that REFUSE could be false."""
         return self.runs > 0
 
     def note(self, outcome: Outcome) -> None:
-        """Counts an attempt that has ended."""
+        """Records the outcome of an attempt."""
         self.last = outcome
         if outcome is Outcome.UNREACHED:
             self.unreached += 1
@@ -95,10 +97,10 @@
 
 
 def may_retry(route: routing.Route, history: AttemptHistory) -> bool:
-    """Returns whether the rules of the route allow another attempt.
+    """Returns whether the route allows another attempt.
 
-    The retry budget is asked apart from this, and only for attempts that
-    follow one which arrived.
+    The retry budget is checked separately, and only for attempts that follow
+    one that reached an endpoint.
     """
     if history.unreached >= MAX_UNREACHED:
         return False
@@ -108,7 +110,7 @@
 
 
 def final_step(history: AttemptHistory) -> NextStep:
-    """Returns how a request ends that is not tried again."""
+    """Returns how to end a request that is not retried."""
     if history.begun:
         return NextStep.CUT
     if history.last is Outcome.FAILED:
--- a/packages/bulrushgrade/bulrushgrade/cost.py
+++ b/packages/bulrushgrade/bulrushgrade/cost.py
@@ -1,9 +1,9 @@
 """A cost model that is learned from completed work.
 
-Two straight lines a model: seconds to the first token against prompt tokens
-that are read before it, and seconds between tokens against the requests that
-run at once. They are kept as decayed sums, so that learning and predicting
-take constant time.
+It has two lines for each model: seconds to the first token against the prompt
+tokens prefilled before it, and seconds between tokens against the number of
+concurrent requests. They are kept as exponentially decayed sums, so that
+learning and predicting take constant time.
 """
 
 import attrs
@@ -11,36 +11,36 @@
 from bulrushgrade import work
 
 DECAY_SAMPLES = 300.0
-"""Completions that a line remembers: a few minutes of a busy host, so that a
-new model version is learned within one shift of the mix."""
+"""Time constant of the decay, in samples: a few minutes of a busy host, so that
+a new model version is learned soon after its rollout."""
 
 SLOW_SAMPLE_WEIGHT = 0.03
 CLIP_FACTOR = 2.0
-"""How samples above the line are taken by `LinearFit.learn_clipped`."""
+"""Weight and upper bound of slow samples in `LinearFit.learn_clipped`."""
 
 PLANNING_BATCH = 32
-"""Requests that share a decode step on an engine that is well used: a half
-of its slots, at which chats still get their tokens in time."""
+"""Requests per decode step on a well used engine: half of its slots, at which
+chats still get their tokens in time."""
 
 TYPICAL_BATCH = 16
-"""Requests that are assumed to share a decode step when work is priced."""
+"""Assumed number of requests per decode step when work is priced."""
 
 DEFAULT_PLAIN_S = 0.05
-"""First guess of a plain service's time to answer."""
+"""Initial estimate of a plain service's response time."""
 
 
 @attrs.define(kw_only=True)
 class LinearFit:
-    """A least-squares line over decayed samples, held by a weak prior.
+    """A least-squares line over decayed samples with a weak prior.
 
-    The prior counts as two samples that never decay: without it a run of
-    equal `x` (all chats, no readings) leaves the slope undefined, and the
-    first long reading after it would be predicted with nonsense.
+    The prior counts as two samples that never decay. Without it a series of
+    equal `x`, such as chats only, leaves the slope undefined, and the
+    prediction for the first long prefill after it would be meaningless.
 
     Attributes:
         intercept: Prior value at x = 0.
         slope: Prior slope.
-        span: The x at which the second prior sample stands.
+        span: The x of the second prior sample; the first is at 0.
     """
 
     intercept: float
@@ -54,7 +54,7 @@
     _line: tuple[float, float] | None = None
 
     def learn(self, x: float, y: float, weight: float = 1.0) -> None:
-        """Takes in one sample, a light one also forgetting less."""
+        """Adds a sample; one of low weight decays the others less."""
         decay = 1.0 - weight / DECAY_SAMPLES
         self._count = self._count * decay + weight
         self._x = self._x * decay + weight * x
@@ -64,18 +64,19 @@
         self._line = None
 
     def learn_clipped(self, x: float, y: float) -> None:
-        """Takes in a sample that may have waited for what was not seen.
+        """Adds a sample that may include a wait for work of other hosts.
 
-        What lies above the line counts little and is cut off at twice the
-        line: the line then follows the quick samples (an expectile), which
-        met least that other hosts had placed and not told of yet.
+        A sample above the line has a low weight and is clipped at `CLIP_FACTOR`
+        times the line. The line then follows the fast samples (an expectile),
+        which include the least work that other hosts had placed and not
+        announced yet.
         """
         ceiling = CLIP_FACTOR * self.predict(x)
         weight = 1.0 if y <= self.predict(x) else SLOW_SAMPLE_WEIGHT
         self.learn(x, min(y, ceiling), weight)
 
     def line(self) -> tuple[float, float]:
-        """Returns the intercept and slope; the slope is above zero."""
+        """Returns the intercept and the slope, which is above zero."""
         if self._line is None:
             self._line = self._solve()
         return self._line
@@ -99,12 +100,12 @@
 
 @attrs.define(kw_only=True)
 class CostModel:
-    """Predicts the times of one model's work, or of one plain service's.
+    """Predicts the times of one model, or of one plain service.
 
     Attributes:
-        first: Seconds to the first token against tokens read before it.
-        step: Seconds between tokens against requests running at once.
-        plain_s: Mean seconds of a plain service's answer.
+        first: Seconds to the first token against tokens prefilled before it.
+        step: Seconds between tokens against concurrent requests.
+        plain_s: Mean response time of a plain service in seconds.
     """
 
     first: LinearFit = attrs.field(
@@ -116,38 +117,38 @@
     plain_s: float = DEFAULT_PLAIN_S
 
     def prefill_s(self, tokens: float) -> float:
-        """Returns the seconds that an engine reads these tokens for."""
+        """Returns the seconds that the prefill of these tokens takes."""
         return self.first.line()[1] * tokens
 
     def first_token_s(self, tokens: float) -> float:
-        """Returns the seconds to the first token behind these tokens."""
+        """Returns the seconds to the first token after these tokens."""
         return self.first.predict(tokens)
 
     def step_s(self, running: float) -> float:
-        """Returns the seconds between tokens at this many requests."""
+        """Returns the seconds between tokens for this many requests."""
         return self.step.predict(running)
 
     def engine_s(self, prefill_tokens: float, output_tokens: float) -> float:
-        """Prices work in seconds of one engine's time."""
+        """Returns the price of work in seconds of one engine's time."""
         decode_s = self.step_s(TYPICAL_BATCH) / TYPICAL_BATCH
         return self.prefill_s(prefill_tokens) + output_tokens * decode_s
 
     def kv_token_s(self, item: work.Work) -> float:
-        """Returns the KV memory of an answer times how long it holds it."""
+        """Returns an answer's KV cache tokens times its duration."""
         held_s = item.output_tokens * self.step_s(PLANNING_BATCH)
         return (item.prompt_tokens + item.output_tokens) * held_s
 
     def price_s(
         self, item: work.Work, uncached_tokens: float, tokens_done: int
     ) -> float:
-        """Prices a request in seconds of one endpoint's time."""
+        """Returns the price of a request in seconds of one endpoint's time."""
         if not item.model:
             return self.plain_s
         answer = max(0, item.output_tokens - tokens_done)
         return self.engine_s(uncached_tokens, answer)
 
     def dump(self) -> dict[str, float]:
-        """Returns what was learned, for a person."""
+        """Returns the learned parameters, for diagnosis."""
         return {
             "first_token_s": round(self.first.line()[0], 4),
             "prefill_s_per_ktoken": round(self.first.line()[1] * 1e3, 4),
@@ -157,5 +158,5 @@
         }
 
     def learn_plain(self, seconds: float) -> None:
-        """Takes in a plain service's time to answer."""
+        """Adds a response time of a plain service."""
         self.plain_s += 0.05 * (seconds - self.plain_s)
--- a/packages/bulrushgrade/bulrushgrade/ejection.py
+++ b/packages/bulrushgrade/bulrushgrade/ejection.py
@@ -1,48 +1,52 @@
-"""Taking slow or failing endpoints out of placement, and probing them back.
+"""Ejects slow or failing endpoints from placement, and probes them.
 
-Load: one endpoint answers several times slower than its fellows, or fails,
-while its load report looks idle. Harm: what looks idle draws ever more work
-(the fast failure even more so), and callers see one request in a few late.
+An endpoint may answer several times slower than its cohort, or fail, while its
+load report looks idle. As it looks idle it would attract ever more work, most
+of all when it fails fast, and a part of all callers would see late or failed
+requests.
 """
 
 import attrs
 
 MIN_SAMPLES = 6
-"""Answers before an endpoint is judged: one slow answer is no pattern."""
+"""Answers before an endpoint can be ejected as slow; a single slow answer is
+not enough."""
 
 SLOW_FACTOR = 2.5
-"""Times its fellows' median; below it placement's own prediction, which
-knows each endpoint's speed, gives it less work, and that is enough."""
+"""Factor over its cohort's median ratio above which an endpoint counts as slow.
+Below it, placement gives a slow endpoint less work by its learned speed, which
+is enough."""
 
 CONSECUTIVE_FAILURES = 3
-"""Failures in a row; a dead endpoint gives nothing else."""
+"""Number of consecutive failures that ejects an endpoint."""
 
 BASE_EJECTION_S = 5.0
 MAX_EJECTION_S = 40.0
-"""How long an endpoint stays out: doubled on each failed probe, so that a
-dead one costs one request a while; bounded, so that a mended one returns."""
+"""Duration of an ejection. It doubles with each failed probe, so that a dead
+endpoint costs few requests, up to a maximum, so that a recovered one returns.
+"""
 
 MAX_SLOW_FRACTION = 1 / 3
-"""Part of the fellows that may be out for slowness. Past it the cause is more
-likely common (a bad model version, a slow network), and ejecting would move
-the load of all onto a few that are no better."""
+"""Largest fraction of the cohort that is ejected for slowness. If more are
+slow, the cause is probably common (a bad model version, a slow network), and
+ejection would move all load onto a few endpoints that are no better."""
 
 MAX_FAILED_FRACTION = 1 / 2
-"""Part that may be out once one fails: a dead engine does no work, so that
-leaving it out costs nothing, but where more than half fail it is this host
-that is cut off, and it had better go on trying them all."""
+"""Largest fraction that is ejected when one fails. A dead engine does no work,
+so ejecting it costs nothing; but if more than half fail, it is probably this
+host that is disconnected, and it had better keep trying all of them."""
 
 
 @attrs.define(kw_only=True)
 class Health:
-    """What is known of one endpoint's answers.
+    """Statistics of one endpoint's answers, and its ejection.
 
     Attributes:
-        ratio: Mean of observed to predicted time, 1 is as predicted.
-        samples: Answers since it was last put back.
-        failures: Failures in a row.
-        ejected_until: When it may be probed; None while it is in.
-        probing: Whether a probe is under way.
+        ratio: Mean ratio of observed to predicted time.
+        samples: Answers since the start or the last ejection.
+        failures: Consecutive failures.
+        ejected_until: Time of the next probe; None if it is not ejected.
+        probing: Whether a probe is in progress.
     """
 
     ratio: float = 1.0
@@ -55,42 +59,43 @@
     def usable(self, now: float) -> bool:
         """Returns whether the endpoint may get a request now.
 
-        An ejected endpoint gets one request at a time once its stay is over,
-        so that a probe risks one caller and not a burst of them.
+        An ejected endpoint gets one request at a time after its ejection time,
+        so that a probe puts only one caller at risk.
         """
         return self.ejected_until is None or now >= self.ejected_until
 
     def start_probe(self, now: float) -> None:
-        """Notes that an ejected endpoint gets a request.
+        """Notes that an ejected endpoint gets a request as a probe.
 
-        A probe whose caller goes away is never judged; another may follow
-        after the longest stay, so that the endpoint is not lost for good.
+        If the caller disconnects, the probe has no result. Another one is
+        allowed after the maximum ejection time, so that the endpoint is not
+        lost for good.
         """
         self.ejected_until = now + MAX_EJECTION_S
         self.probing = True
 
     def observe(self, ratio: float) -> None:
-        """Takes in an answer's observed to predicted time."""
+        """Adds an answer's ratio of observed to predicted time."""
         weight = max(0.1, 1.0 / (self.samples + 1.0))
         self.samples += 1
         self.failures = 0
         self.ratio += weight * (min(ratio, 20.0) - self.ratio)
 
     def record_failure(self) -> None:
-        """Takes in a failure."""
+        """Adds a failure."""
         self.failures += 1
 
     def eject(self, now: float) -> None:
-        """Takes the endpoint out."""
+        """Ejects the endpoint."""
         self.ejected_until = now + self._ejection_s
         self._ejection_s = min(MAX_EJECTION_S, self._ejection_s * 2.0)
         self.probing = False
-        # The next probe is judged by itself, not by the memory of the time
-        # before: else a mended endpoint would need many probes to return.
+        # The next probe has to count alone: with the samples from before the
+        # ejection a recovered endpoint would need many probes to return.
         self.samples = 0
 
     def restore(self) -> None:
-        """Puts the endpoint back as if it were new."""
+        """Ends the ejection and resets the statistics."""
         self.ejected_until = None
         self.probing = False
         self.ratio = 1.0
@@ -99,15 +104,15 @@
 
 
 def update(health: Health, cohort: list[Health], now: float) -> bool:
-    """Ejects or restores one endpoint after an observation of it.
+    """Ejects or restores an endpoint after an observation.
 
     Args:
-        health: The endpoint's; it is changed.
-        cohort: Those that do the same work, itself among them.
-        now: The present time.
+        health: Health of the endpoint; it is changed.
+        cohort: Health of all endpoints with the same work, this one included.
+        now: The current time.
 
     Returns:
-        Whether it is out afterwards.
+        Whether the endpoint is ejected afterwards.
     """
     median = _median_ratio(cohort, health)
     failing = health.failures >= CONSECUTIVE_FAILURES
--- a/packages/bulrushgrade/bulrushgrade/eventstream.py
+++ b/packages/bulrushgrade/bulrushgrade/eventstream.py
@@ -1,19 +1,20 @@
-"""Cuts a stream of numbered events at the ends of whole events.
+"""Splits a stream of numbered events into complete events.
 
-An endpoint that dies may leave half an event behind. Only whole events are
-passed on, so that what follows, from this endpoint or another, begins where
-an event begins.
+An endpoint that dies may leave a partial event. Only complete events are passed
+on, so that what follows, from this endpoint or another, starts at the beginning
+of an event.
 """
 
 MAX_EVENT_BYTES = 262_144
-"""The largest event; an endpoint that never ends one would fill the memory."""
+"""Largest size of an event. Without it an endpoint that never ends an event
+would fill the memory."""
 
 _TERMINATORS = (b"\n\n", b"\r\n\r\n")
 _ID = b"id:"
 
 
 class EventSplitter:
-    """Takes bytes as they arrive and gives whole events."""
+    """Takes chunks of bytes and returns complete events."""
 
     def __init__(self):
         self._buffer = b""
@@ -22,26 +23,26 @@
 
     @property
     def last_id(self) -> str | None:
-        """The id of the last whole event that had one."""
+        """The id of the last complete event that had one."""
         return self._last_id
 
     @property
     def events(self) -> int:
-        """How many whole events there were."""
+        """The number of complete events with an id."""
         return self._events
 
     @property
     def partial(self) -> bool:
-        """Whether the bytes so far end within an event."""
+        """Whether the stream so far ends within an event."""
         return bool(self._buffer.strip())
 
     @property
     def overflowed(self) -> bool:
-        """Whether an event is larger than any event may be."""
+        """Whether the partial event exceeds `MAX_EVENT_BYTES`."""
         return len(self._buffer) > MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the whole events that these bytes complete."""
+        """Returns the events that this chunk completes."""
         buffered = self._buffer + data
         end = max(
             _end_of_last_event(buffered, terminator)
@@ -53,7 +54,7 @@
         return whole
 
     def drop_partial(self) -> None:
-        """Forgets half an event, before another endpoint goes on."""
+        """Drops a partial event, before another endpoint continues."""
         self._buffer = b""
 
     def _note(self, whole: bytes) -> None:
--- a/packages/bulrushgrade/bulrushgrade/lane.py
+++ b/packages/bulrushgrade/bulrushgrade/lane.py
@@ -1,10 +1,9 @@
-"""Bounded queues: earliest deadline first, long and short work apart.
+"""Bounded queues ordered by deadline, with a separate lane for long prefills.
 
-Load: long readings and short chats together. Harm: in one queue a chat waits
-for seconds of reading, or a stream of chats with near deadlines starves a
-reading for good. Each service has two lanes that take turns by the engine
-seconds they used, and within a lane the work that has to start first goes
-first.
+In a single queue a chat would wait for seconds of long prefills, or a stream of
+chats with near deadlines would starve a long prefill for good. So each service
+has two lanes, of which the one with fewer used engine seconds goes first, and
+within a lane the work with the earliest latest start goes first.
 """
 
 import enum
@@ -15,8 +14,8 @@
 from bulrushgrade import work
 
 LONG_PREFILL_S = 0.4
-"""Engine seconds of reading from which work is long: about what a chat's
-time to first token can bear to wait for."""
+"""Prefill time in engine seconds from which work is long: about as long as a
+chat can wait for its first token."""
 
 
 class LaneName(enum.StrEnum):
@@ -28,20 +27,21 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class QueuedWork:
-    """Work that waits at this host.
+    """Work that is queued at this host.
 
     Attributes:
         work: The work.
         engine_s: Its price in engine seconds.
-        prefill_work_s: Those of them that read its prompt.
-        latest_start: When it has to be placed to be in time.
-        lane: The lane that it waits in.
-        number: Grows with each arrival; breaks ties in favour of the first.
-        not_before: When it may be placed first, for a retry.
-        avoid: Endpoints that failed it.
-        attempt: Attempts so far that may have run; 0 for fresh work.
-        rejections: Attempts so far that endpoints did not start.
-        tokens_done: Tokens of the answer that the caller already has.
+        prefill_work_s: The part of `engine_s` that is prefill.
+        latest_start: Time by which it must be placed to be in time.
+        lane: Its lane.
+        number: Number of its arrival; the earlier of two with the same latest
+            start goes first.
+        not_before: Earliest time of its placement, for a retry.
+        avoid: Addresses of endpoints at which it failed.
+        attempt: Number of earlier attempts that may have run.
+        rejections: Number of earlier attempts that an endpoint did not start.
+        tokens_done: Number of tokens that the caller already received.
     """
 
     work: work.Work
@@ -58,7 +58,7 @@
 
 
 class Lane:
-    """QueuedWork work in order of its latest start."""
+    """Queued work, ordered by latest start."""
 
     def __init__(self):
         self._items = sortedcontainers.SortedList(
@@ -72,30 +72,30 @@
 
     @property
     def engine_s(self) -> float:
-        """Engine seconds of all that waits."""
+        """Total engine seconds of the queued work."""
         return self._engine_s
 
     def add(self, item: QueuedWork) -> None:
-        """Queues an item."""
+        """Adds an item."""
         self._items.add(item)
         self._engine_s += item.engine_s
 
     def head(self) -> QueuedWork | None:
-        """Returns the item that has to start first."""
+        """Returns the item with the earliest latest start, or None."""
         return self._items[0] if self._items else None
 
     def remove(self, item: QueuedWork) -> None:
-        """Takes an item out."""
+        """Removes an item."""
         self._items.remove(item)
         self._engine_s -= item.engine_s
         if not self._items:
             self._engine_s = 0.0
 
     def work_ahead_s(self, latest_start: float) -> float:
-        """Returns the engine seconds that would go before a new item.
+        """Returns the engine seconds queued before a new item.
 
-        Taken as the item's rank times the mean price, so that an admission
-        costs a search of the order and not a walk through the queue.
+        Estimated as the item's rank times the mean price, so that an admission
+        costs a binary search and not a pass over the queue.
         """
         if not self._items:
             return 0.0
@@ -113,7 +113,7 @@
         return sum(len(lane) for lane in self.lanes.values())
 
     def add(self, item: QueuedWork) -> None:
-        """Queues an item; a lane that was empty is owed nothing."""
+        """Adds an item; a lane that was empty starts without credit."""
         lane = self.lanes[item.lane]
         if not len(lane):
             others = [o.used_s for o in self.lanes.values() if len(o)]
@@ -121,15 +121,15 @@
         lane.add(item)
 
     def lanes_by_usage(self) -> list[Lane]:
-        """Returns the lanes with work, the one that used least first."""
+        """Returns the non-empty lanes, the least used one first."""
         waiting = [lane for lane in self.lanes.values() if len(lane)]
         return sorted(waiting, key=lambda lane: lane.used_s)
 
     def work_ahead_s(self, item: QueuedWork) -> float:
-        """Returns engine seconds that go before a new item of a lane.
+        """Returns the engine seconds that go before a new item.
 
-        The other lane takes turns, so as much of it as this lane's own part
-        goes before too, but never more than it has.
+        The lanes alternate, so as much work of the other lane goes first as of
+        the item's own lane, up to all that the other lane holds.
         """
         own = self.lanes[item.lane].work_ahead_s(item.latest_start)
         other = sum(
@@ -141,5 +141,5 @@
 
 
 def lane_for(prefill_work_s: float) -> LaneName:
-    """Returns the lane for work with this much reading, in engine seconds."""
+    """Returns the lane for work with this prefill time in engine seconds."""
     return LaneName.LONG if prefill_work_s >= LONG_PREFILL_S else LaneName.SHORT
--- a/packages/bulrushgrade/bulrushgrade/limit.py
+++ b/packages/bulrushgrade/bulrushgrade/limit.py
@@ -1,32 +1,33 @@
-"""An adaptive limit on the work in progress at one engine.
+"""An adaptive limit on the concurrent requests of one engine.
 
-Load: more requests than an engine can batch. Harm: they queue inside the
-engine, where no deadline orders them and no share protects other teams.
-Additive increase finds the room that an engine has today; multiplicative
-decrease gives it back quickly when waiting appears.
+More requests than an engine can batch would queue inside the engine, where they
+are not ordered by deadline and no share protects the other services. The
+additive increase finds the engine's current capacity; the multiplicative
+decrease reduces the load quickly when queueing is observed.
 """
 
 import attrs
 
 DECREASE_FACTOR = 0.85
-"""Factor on a late answer: several hosts see the same engine late at once
-and all step down, so each steps less than the classic half."""
+"""Factor of a decrease. Several hosts see the same engine late at once and all
+decrease their limits, so each decreases by less than the classic half."""
 
 MIN_DECREASE_INTERVAL_S = 1.0
-"""One decrease an interval: every answer of one overloaded second tells of
-the same overload, and counting each would drop the limit to the floor."""
+"""Minimum time between two decreases: all late answers within one overloaded
+second are one overload, and a decrease for each would drop the limit to its
+minimum."""
 
 MIN_LIMIT = 2.0
-"""Requests allowed always, so that recovery can be observed."""
+"""Number of requests that are always allowed, to observe a recovery."""
 
 
 @attrs.define(kw_only=True)
 class ConcurrencyLimit:
-    """How many requests one engine may hold, all hosts together.
+    """Limit on the concurrent requests of one engine, of all hosts together.
 
     Attributes:
-        ceiling: The engine's own slots.
-        value: The present limit.
+        ceiling: The engine's number of slots.
+        value: The current limit.
     """
 
     ceiling: float
@@ -36,14 +37,15 @@
     _decreased_at: float = -1e9
 
     def observe(self, *, late: bool, running: float, now: float) -> None:
-        """Takes in whether an answer waited longer than it should have.
+        """Updates the limit after an answer.
 
         Args:
-            late: Its queueing delay was above the target.
-            running: Requests at the engine when it was placed. A limit that
-                was not reached is not raised: else an idle night lifts it to
-                the ceiling and the morning's burst all goes in at once.
-            now: The present time.
+            late: Whether its queueing delay was above the target.
+            running: Requests at the engine when it was placed. A limit that was
+                not reached is not raised: otherwise it would rise to the
+                ceiling while load is low, and the next burst would be admitted
+                at once.
+            now: The current time.
         """
         if late:
             if now - self._decreased_at >= MIN_DECREASE_INTERVAL_S:
@@ -54,5 +56,5 @@
             self.value = min(self.ceiling, self.value + 1.0 / self.value)
 
     def admits(self, running: float) -> bool:
-        """Returns whether one more request may go in."""
+        """Returns whether one more request is allowed."""
         return running + 1.0 <= self.value + 0.5
--- a/packages/bulrushgrade/bulrushgrade/load.py
+++ b/packages/bulrushgrade/bulrushgrade/load.py
@@ -1,11 +1,11 @@
-"""One endpoint's load, combined from three sources.
-
-Own work in flight is exact, peers' is fresh but advisory, the engine's report
-lags. Counting a request in two of them would make a busy engine look twice as
-busy; believing the report alone would make an engine look idle that this host
-has just filled. So: what is known is own plus peers' now, and the report
-only adds what it shows beyond what is known of the time it speaks of (work of
-hosts that are not heard).
+"""The load of one endpoint, combined from three sources.
+
+This host's own requests are known exactly, those of peers are recent but
+advisory, and the engine's report is delayed. Counting a request in two sources
+would make a busy engine look twice as busy; using the report alone would make
+an engine look idle that this host has just filled. So the load is the current
+sum of own and peers' work, plus what the report shows beyond the own and peers'
+work of the time of the report, which is work of hosts that send no messages.
 """
 
 import collections
@@ -18,22 +18,22 @@
 from bulrushgrade import work
 
 PEER_LOAD_TTL_S = 3.0
-"""A peer that is silent for so long is no longer counted: what it left at
-the engines shows in their reports."""
+"""A peer's load is dropped after this time without a message: its requests at
+the engines then show in their reports."""
 
 MAX_REPORT_AGE_S = 15.0
-"""How far back a report may speak; an older one is not believed."""
+"""Largest age of a report that is used."""
 
 
 @attrs.frozen
 class Amount:
-    """Work at an endpoint.
+    """Amount of work at an endpoint.
 
     Attributes:
-        running: Requests, waiting ones included.
-        prefill_tokens: Prompt tokens yet to be read.
-        kv_tokens: KV memory taken or promised.
-        short_tokens: Those of `prefill_tokens` that go before long readings.
+        running: Requests, queued ones included.
+        prefill_tokens: Prompt tokens still to be prefilled.
+        kv_tokens: KV cache in use or reserved, in tokens.
+        short_tokens: Part of `prefill_tokens` that goes before long prefills.
     """
 
     running: float = 0.0
@@ -50,7 +50,7 @@
         )
 
     def scaled(self, factor: float) -> "Amount":
-        """Returns the amount times a factor."""
+        """Returns the amount multiplied by a factor."""
         return Amount(
             self.running * factor,
             self.prefill_tokens * factor,
@@ -59,7 +59,7 @@
         )
 
     def excess_over(self, other: "Amount") -> "Amount":
-        """Returns what is here and not in the other, none below zero."""
+        """Returns the difference to the other, with a minimum of zero."""
         return Amount(
             max(0.0, self.running - other.running),
             max(0.0, self.prefill_tokens - other.prefill_tokens),
@@ -68,7 +68,7 @@
         )
 
     def maximum(self, other: "Amount") -> "Amount":
-        """Returns the larger figure of each kind."""
+        """Returns the larger value of each attribute."""
         return self + other.excess_over(self)
 
 
@@ -76,7 +76,7 @@
 
 
 class EndpointLoad:
-    """The load, limit and health of one endpoint, as this host knows it."""
+    """The load, concurrency limit and health of one endpoint."""
 
     def __init__(self, *, endpoint: work.Endpoint):
         self.endpoint = endpoint
@@ -96,14 +96,14 @@
 
     @property
     def own(self) -> Amount:
-        """What this host has in flight here."""
+        """This host's requests in flight at the endpoint."""
         return self._own
 
     def update_endpoint(self, endpoint: work.Endpoint) -> None:
-        """Takes in a changed description.
+        """Updates the description of the endpoint.
 
-        In a new role or with a new model the engine is another one to the
-        cost model: what was learned of its speed and room is dropped.
+        In another role or with another model the engine behaves differently, so
+        its learned speed and health are reset.
         """
         old, self.endpoint = self.endpoint, endpoint
         if (old.role, old.model) != (endpoint.role, endpoint.model):
@@ -116,30 +116,31 @@
 
     @property
     def serving(self) -> bool:
-        """Whether it takes new work, as the view has it."""
+        """Whether the endpoint takes new work by its state."""
         return self.endpoint.state is work.EndpointState.SERVING
 
     def placeable(self, now: float) -> bool:
-        """Returns whether new work may go here, as far as is known of it."""
+        """Returns whether new work may be placed here."""
         return self.serving and self.health.usable(now)
 
     def add_own(self, amount: Amount, now: float) -> None:
-        """Books work of this host, or with negative figures its end."""
+        """Adds work of this host; negative amounts remove it."""
         total = self._own + amount
         self._own = total.excess_over(NO_LOAD)
         self._recompute_total(now)
 
     def set_peer(self, peer: str, amount: Amount, now: float) -> None:
-        """Replaces what a peer has in flight here."""
+        """Replaces a peer's work in flight here."""
         before = self._peers.pop(peer, NO_LOAD)
         if amount != NO_LOAD:
             self._peers[peer] = amount
-        # Counts are whole numbers, so adding and taking away leaves no rest.
+        # Counts are whole numbers, so adding and subtracting leaves no rounding
+        # error.
         self._peer_sum = self._peer_sum + before.scaled(-1.0) + amount
         self._recompute_total(now)
 
     def apply_report(self, report: work.LoadReport, now: float) -> None:
-        """Takes in the engine's own, lagged figures."""
+        """Updates the load from the engine's own, delayed report."""
         if report.kv_capacity_tokens:
             self.kv_capacity_tokens = report.kv_capacity_tokens
         if report.age_s > MAX_REPORT_AGE_S:
@@ -152,13 +153,13 @@
         self._unattributed = reported.excess_over(
             self._known_at(now - report.age_s)
         )
-        # Cached prefixes that no request uses are part of the engine's KV
-        # figure and are evicted on demand: they are no load.
+        # The engine's KV cache usage includes cached prefixes that no request
+        # uses. They are evicted on demand and are not load.
         self._unattributed = attrs.evolve(self._unattributed, kv_tokens=0.0)
         self._recompute_total(now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the load for a person, ready for JSON."""
+        """Returns the load for diagnosis, ready for JSON."""
         return {
             "role": self.endpoint.role.value,
             "state": self.endpoint.state.value,
@@ -172,10 +173,10 @@
         }
 
     def foreign_prefill_tokens(self, since: float, until: float) -> float:
-        """Returns the most that others had to be read here in a time.
+        """Returns the maximum of other hosts' prefill tokens in an interval.
 
-        It is asked some time after, when messages that were under way at the
-        time have been heard.
+        It is called some time after the interval, when the messages that were
+        in transit have arrived.
         """
         most = 0.0
         for at, _, peers, unattributed in reversed(self._history):
@@ -199,13 +200,13 @@
             self._history.popleft()
 
     def _known_at(self, when: float) -> Amount:
-        """What is known now of an earlier time.
+        """Returns own and peers' work at an earlier time.
 
-        Own work is known exactly. A peer's message arrives after the report's
-        time though it speaks of it: comparing the report with what had been
-        heard by then would take the peer's work for a stranger's and count
-        it twice, once as such and once as the peer's. So the most that peers
-        told of since then is taken.
+        Own work is known exactly. A peer's message about work that a report
+        includes may arrive after the time of the report. If the report were
+        compared with the messages received by that time, the peer's work would
+        count twice, once as unattributed and once as the peer's. So the maximum
+        of the peers' work since that time is used.
         """
         peers = self._peer_sum
         for at, own, heard, _ in reversed(self._history):
--- a/packages/bulrushgrade/bulrushgrade/offeredload.py
+++ b/packages/bulrushgrade/bulrushgrade/offeredload.py
@@ -1,4 +1,4 @@
-"""Demand that callers offer one host, counted for the role plan."""
+"""Counts the demand on one host, for the role plan."""
 
 from bulrushgrade import cost
 from bulrushgrade import lane
@@ -14,12 +14,12 @@
     def add_request(
         self, item: work.Work, uncached_tokens: float, model: cost.CostModel
     ) -> None:
-        """Counts a fresh request; a plain service's is no demand on engines.
+        """Counts a new request; a plain service's is no demand on engines.
 
         Args:
             item: The request.
-            uncached_tokens: Prompt tokens that are expected to be read.
-            model: Prices how long its answer holds memory.
+            uncached_tokens: Expected prompt tokens to prefill.
+            model: Cost model, for the duration of the answer's KV cache.
         """
         if not item.model:
             return
@@ -29,12 +29,12 @@
         counts[2] += model.kv_token_s(item)
 
     def correct_prefill(self, item: work.Work, more_tokens: float) -> None:
-        """Corrects what was expected to be read by what was."""
+        """Adds the difference of prefilled and expected tokens."""
         if item.model in self._counts:
             self._counts[item.model][0] += more_tokens
 
     def add_refused(self, item: lane.QueuedWork) -> None:
-        """Counts a request that was refused for load."""
+        """Counts a request that was refused because of load."""
         if item.work.model in self._counts:
             self._counts[item.work.model][3] += item.engine_s
 
--- a/packages/bulrushgrade/bulrushgrade/placement.py
+++ b/packages/bulrushgrade/bulrushgrade/placement.py
@@ -1,8 +1,8 @@
-"""Where work goes: prompt-prefix affinity against predicted wait.
+"""Chooses endpoints by prefix-cache affinity and predicted wait.
 
-Each way to place a piece of work gets a score in seconds: its own predicted
-time, what it takes from answers beside it, and by how much it misses its
-limits. The smallest score wins, but for a draw among near-equals.
+Each way to place a request gets a score in seconds: its own predicted time, the
+delay that it causes to running answers, and by how much it misses its limits.
+The smallest score wins, except for a random draw among near-equal scores.
 """
 
 from collections.abc import Iterator
@@ -19,44 +19,49 @@
 TIE_MARGIN_S = 0.02
 TIE_MARGIN_FRACTION = 0.1
 TIE_MARGIN_PREFILLS = 0.5
-"""Predictions this near to the best are equal, as far as stale data can
-tell; two of them are drawn and the better taken. What a message from a peer
-may not have told yet is a reading like this one, so for a long reading more
-is equal. Without it nine hosts sent twenty readings to one idle engine."""
+"""Scores within this margin of the best count as equal, as stale data can't
+tell them apart; two of them are drawn and the better one is taken. A peer may
+have sent a prefill as long as this one without having announced it yet, so the
+margin grows with the length of the prompt. Without that term nine hosts sent
+twenty prefills to one idle engine."""
 
 MAX_PREFILL_BACKLOG_S = 1.0
-"""Reading that may wait inside an engine: enough to keep it busy between two
-decisions, and little enough that the order of deadlines here still counts."""
+"""Largest prefill backlog inside an engine. It keeps the engine busy between
+two decisions and is short enough that the deadline order of this host's queue
+still matters."""
 
 KV_TRANSFER_S = 0.03
 KV_TRANSFER_S_PER_TOKEN = 2e-6
-"""Moving a KV cache from engine to engine, until measured."""
+"""Assumed time to move a KV cache between engines, as it is not measured yet.
+"""
 
 INTERFERENCE_WEIGHT = 0.3
-"""Weight of the time that reading takes from answers that run beside it."""
+"""Weight of the time that a prefill takes from answers that run on the same
+engine."""
 
 LATENESS_WEIGHT = 10.0
-"""Weight of predicted lateness: an option in time goes before any that is
-not, unless it costs others many times as much."""
+"""Weight of predicted lateness. An option that meets its deadlines wins over
+one that doesn't, unless it delays others by many times as much."""
 
 LATENESS_TOLERANCE_S = 0.3
-"""Predicted lateness at which work is not placed: it would end late and take
-the time of work that can be in time. A little is borne, as predictions err."""
+"""Work with a larger predicted lateness is not placed: it would miss its
+deadline and take engine time from work that can meet its own. A small lateness
+is accepted, as predictions have errors."""
 
 MAX_KV_FRACTION = 0.95
-"""Part of the KV cache that is given out: an engine that runs out evicts a
+"""Fraction of the KV cache that is allocated: an engine that runs out evicts a
 running answer and computes it again."""
 
 
 @attrs.frozen(kw_only=True)
 class PlacementRequest:
-    """What is to be placed.
+    """A request to place some work.
 
     Attributes:
         work: The work.
-        short: Whether it goes before long readings inside an engine.
-        avoid: Endpoints that it must not go to.
-        tokens_done: Tokens of its answer that are already there.
+        short: Whether its prefill goes before long ones inside an engine.
+        avoid: Addresses of endpoints to which it must not go.
+        tokens_done: Tokens of the answer that were already generated.
     """
 
     work: work.Work
@@ -66,12 +71,12 @@
 
     @property
     def answer_tokens(self) -> int:
-        """Tokens that are still to be generated."""
+        """Number of tokens that remain to be generated."""
         return max(0, self.work.output_tokens - self.tokens_done)
 
 
 class BlockedReason(enum.Enum):
-    """What there is no room for."""
+    """Why work can't be placed now."""
 
     NO_PREFILL_ROOM = "reading"
     NO_DECODE_ROOM = "answering"
@@ -83,15 +88,16 @@
     """One way to place work, with its predicted times.
 
     Attributes:
-        endpoint: Where the prompt is read.
-        decode: Where the answer is generated; the same or another.
-        uncached_tokens: Prompt tokens that have to be read.
-        ahead_tokens: Tokens read before its answer, its own included.
+        endpoint: Endpoint that prefills the prompt.
+        decode: Endpoint that generates the answer; may be the same.
+        uncached_tokens: Prompt tokens that have to be prefilled.
+        ahead_tokens: Tokens to be prefilled before its first token, its own
+            included.
         first_token_s: Predicted seconds to the first token.
         step_s: Predicted seconds between tokens.
-        finish_s: Predicted seconds to the end.
-        late_s: By how many seconds it is predicted to miss a deadline.
-        score: What is compared; smaller is better.
+        finish_s: Predicted seconds to the end of the answer.
+        late_s: Predicted seconds by which it misses a deadline.
+        score: Cost in seconds by which options are compared; smaller is better.
     """
 
     endpoint: load.EndpointLoad
@@ -107,7 +113,7 @@
     def to_placed(
         self, item: work.Work, tokens_done: int, priority: int
     ) -> work.Placed:
-        """Returns the decision that tells of this option."""
+        """Returns the decision that corresponds to this option."""
         split = self.decode is not self.endpoint
         cached = item.prompt_tokens + tokens_done - self.uncached_tokens
         return work.Placed(
@@ -124,7 +130,7 @@
 def uncached_tokens(
     candidates: pool.Pool, item: work.Work, tokens_done: int
 ) -> int:
-    """Returns what the best holder of its prefix would have to read."""
+    """Returns the tokens to prefill where most of its prefix is cached."""
     hits = candidates.prefixes.find(item.prefix)
     cached = max(hits.values(), default=0) * work.BLOCK_TOKENS
     return max(0, item.prompt_tokens + tokens_done - cached)
@@ -137,17 +143,17 @@
     rng: random.Random,
     now: float,
 ) -> Option | BlockedReason:
-    """Picks where work goes.
+    """Chooses the endpoints for some work.
 
     Args:
-        candidates: The endpoints that can do it.
-        ask: The work.
-        rng: Draws among near-equals.
-        now: The present time.
+        candidates: The pool of endpoints that can do the work.
+        ask: The work and how far it has got.
+        rng: Source of the draw among near-equal options.
+        now: The current time.
 
     Returns:
-        The best option, which may still be late, or what there is no room
-        for while every endpoint is full or out.
+        The best option, which may be late by up to `LATENESS_TOLERANCE_S`,
+        or the reason why the work can't be placed now.
     """
     hits = candidates.prefixes.find(ask.work.prefix)
     prefiller_loads = [
@@ -190,7 +196,7 @@
 def record_placement(
     candidates: pool.Pool, item: work.Work, option: Option, now: float
 ) -> None:
-    """Notes what an endpoint will have cached, and a probe's start."""
+    """Records the prefix as cached, and a probe of an ejected endpoint."""
     candidates.prefixes.add(item.prefix, option.endpoint.endpoint.address)
     for each in (option.endpoint, option.decode):
         if each.health.ejected_until is not None:
@@ -210,7 +216,8 @@
     cached = hits.get(prefiller.endpoint.address, 0) * work.BLOCK_TOKENS
     input_tokens = ask.work.prompt_tokens + ask.tokens_done
     uncached = max(float(input_tokens - cached), 1.0)
-    # As for reading: with no engine for answers left, the reader goes on.
+    # As with prefill in `Pool.prefillers`: when no decode engine is left, the
+    # prefill engine generates the answer too.
     no_decoders = not candidates.has_decoders
     if no_decoders or prefiller.endpoint.role is not work.Role.PREFILL:
         yield _engine_option(
@@ -290,11 +297,11 @@
 def _usable_endpoints(
     items: list[load.EndpointLoad], ask: PlacementRequest, now: float
 ) -> list[load.EndpointLoad]:
-    """Returns those that are not to be avoided, and not ejected.
+    """Returns the allowed endpoints that are not ejected.
 
-    Where all of them are ejected, all are tried: a request that has failed
-    at one endpoint of two is better tried at the other, which was slow or
-    failed a while ago, than not at all.
+    Where all of them are ejected, all are returned: a request that failed at
+    one endpoint of two has a better chance at the other, although that was slow
+    or failed a while ago, than without any attempt.
     """
     allowed = [item for item in items if item.endpoint.address not in ask.avoid]
     return [item for item in allowed if item.placeable(now)] or allowed
--- a/packages/bulrushgrade/bulrushgrade/pool.py
+++ b/packages/bulrushgrade/bulrushgrade/pool.py
@@ -1,7 +1,7 @@
-"""The endpoints that can do the same work, in order of their load.
+"""The endpoints that can do the same work, ordered by load.
 
-The orders are kept sorted and the candidates for one placement are few, so
-that a placement costs the logarithm of the number of endpoints.
+The orders are kept sorted and one placement looks at few candidates, so that
+its cost grows with the logarithm of the number of endpoints.
 """
 
 import bisect
@@ -17,14 +17,15 @@
 from bulrushgrade import work
 
 MAX_LEAST_LOADED = 4
-"""Least loaded engines looked at, drawn from `LEAST_LOADED_DIVISOR` of them."""
+"""Number of least loaded engines among the candidates of one placement."""
 
 LEAST_LOADED_DIVISOR = 4
-"""One in so many endpoints counts as least loaded. Many hosts see the same
-order on stale data: if all took its first, they would herd onto it."""
+"""One in this many endpoints counts as least loaded, and candidates are drawn
+from those. Many hosts see the same order on stale data: if all took its first
+endpoint, that one would be overloaded."""
 
 POINTS_PER_ENDPOINT = 16
-"""Points of each endpoint on the hash ring."""
+"""Number of points of each endpoint on the consistent-hashing ring."""
 
 
 class Pool:
@@ -44,7 +45,7 @@
         return len(self.loads)
 
     def put(self, item: load.EndpointLoad) -> None:
-        """Adds an endpoint or takes in that its description changed."""
+        """Adds an endpoint, or updates it after its description changed."""
         address = item.endpoint.address
         if address not in self.loads:
             for point in range(POINTS_PER_ENDPOINT):
@@ -56,13 +57,13 @@
         self.refresh(address)
 
     def drop(self, address: str) -> None:
-        """Takes an endpoint out."""
+        """Removes an endpoint."""
         self._remove_from_orders(address)
         del self.loads[address]
         self._ring = [point for point in self._ring if point[1] != address]
 
     def refresh(self, address: str) -> None:
-        """Sorts an endpoint anew after its load changed."""
+        """Updates an endpoint's place in the orders after its load changed."""
         self._remove_from_orders(address)
         item = self.loads[address]
         if item.endpoint.state is not work.EndpointState.SERVING:
@@ -79,25 +80,25 @@
             self._by_decode_load.add((running, address))
 
     def serving(self) -> int:
-        """Returns how many endpoints are in service."""
+        """Returns the number of serving endpoints."""
         return len(self._sort_keys)
 
     @property
     def has_decoders(self) -> bool:
-        """Whether an engine for answers is in service."""
+        """Whether an engine that generates answers is serving."""
         return bool(self._by_decode_load)
 
     @property
     def step_ratio(self) -> float:
-        """Observed to predicted time between tokens at the quickest engine.
+        """Observed to predicted time between tokens, at the fastest engine.
 
-        At least 1: that one engine is quick says nothing of its room.
+        At least 1: a fast engine may still have no capacity left.
         """
         ratios = (self.loads[a].step_ratio for _, a in self._by_decode_load)
         return max(1.0, min(ratios, default=1.0))
 
     def cohort(self, role: work.Role) -> list[ejection.Health]:
-        """Returns the health of all endpoints in service with this role."""
+        """Returns the health of all serving endpoints with this role."""
         return [
             self.loads[address].health
             for address in self._sort_keys
@@ -105,7 +106,7 @@
         ]
 
     def uncached_tokens(self, item: work.Work, tokens_done: int) -> int:
-        """Returns what the best holder of its prefix would have to read."""
+        """Returns the tokens to prefill where most of its prefix is cached."""
         hits = self.prefixes.find(item.prefix)
         cached = max(hits.values(), default=0) * work.BLOCK_TOKENS
         return max(0, item.prompt_tokens + tokens_done - cached)
@@ -113,17 +114,18 @@
     def prefillers(
         self, item: work.Work, hits: dict[str, int]
     ) -> list[load.EndpointLoad]:
-        """Returns candidates for reading a prompt.
+        """Returns the candidates for the prefill of a prompt.
 
-        They are the holders of its prefix, the endpoint on which all hosts
-        agree for a prefix that none has seen, and some of the least loaded.
+        They are the endpoints that have cached its prefix, the endpoint to
+        which consistent hashing maps the prefix on every host, and some of the
+        least loaded ones.
 
         Args:
             item: The work.
-            hits: Blocks of its prefix that endpoints hold.
+            hits: Number of leading blocks of its prefix by endpoint.
         """
-        # A role is what an engine does best, not all that it can do. With
-        # every engine for prompts lost, slow answers are better than none.
+        # A role is what an engine does best, not all that it can do. When every
+        # prefill engine is lost, slow answers are better than none.
         if not self._by_prefill_load:
             return self.decoders()
         found = dict.fromkeys(a for a in hits if a in self.loads)
@@ -138,7 +140,7 @@
         ]
 
     def decoders(self) -> list[load.EndpointLoad]:
-        """Returns candidates for generating an answer read elsewhere."""
+        """Returns the candidates for generating the answer after a prefill."""
         return [self.loads[a] for a in self._sample(self._by_decode_load)]
 
     def _sample(self, order) -> list[str]:
--- a/packages/bulrushgrade/bulrushgrade/pools.py
+++ b/packages/bulrushgrade/bulrushgrade/pools.py
@@ -1,4 +1,4 @@
-"""The endpoints that one host knows, grouped into pools of equal ability."""
+"""The endpoints known to a host, grouped into pools by what they serve."""
 
 import random
 from typing import Any
@@ -13,22 +13,22 @@
 from bulrushgrade import work
 
 PoolKey = tuple[str, str]
-"""What a pool is for: ``("model", NAME)`` or ``("service", NAME)``."""
+"""Identifies a pool: ``("model", NAME)`` or ``("service", NAME)``."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class PoolState:
-    """A pool of endpoints and what waits for it."""
+    """A pool of endpoints and its queue."""
 
     pool: pool.Pool
     queue: queueing.PoolQueue
 
 
 class Fleet:
-    """Endpoints with their loads, and the pools that they belong to.
+    """All known endpoints with their loads, and the pools that hold them.
 
-    An engine belongs to the pool of its model and of each adapter that it
-    has loaded; a plain endpoint to that of its service.
+    An engine belongs to the pool of its model and to that of each adapter that
+    it has loaded; a plain endpoint belongs to the pool of its service.
     """
 
     def __init__(self, *, rng: random.Random):
@@ -46,7 +46,7 @@
         return tuple(self._pools.values())
 
     def set_policies(self, policies: tuple[work.ServicePolicy, ...]) -> None:
-        """Replaces the shares in all pools."""
+        """Replaces the policies, and with them the shares in all pools."""
         self._policies = policies
         for state in self._pools.values():
             self._set_shares(state)
@@ -54,7 +54,7 @@
     def set_endpoints(
         self, endpoints: tuple[work.Endpoint, ...], now: float
     ) -> None:
-        """Replaces the view of the endpoints; what is known of them stays."""
+        """Replaces the set of endpoints; those that stay keep their state."""
         wanted = {endpoint.address: endpoint for endpoint in endpoints}
         for address in [a for a in self._loads if a not in wanted]:
             for key in self._pool_keys.pop(address):
@@ -67,7 +67,7 @@
                 self._update_peer_load(peer, address, now)
 
     def find_pool(self, item: work.Work) -> PoolState | None:
-        """Returns the pool for some work, or None without one in service."""
+        """Returns the pool for some work, or None if no endpoint serves it."""
         key = ("service", item.service)
         if item.model:
             key = ("model", item.model)
@@ -75,12 +75,12 @@
         return state if state and state.pool.serving() else None
 
     def serving(self, item: work.Work) -> int:
-        """Returns how many endpoints in service could do some work."""
+        """Returns the number of serving endpoints that could do some work."""
         state = self.find_pool(item)
         return state.pool.serving() if state else 0
 
     def report(self, report: work.LoadReport, now: float) -> None:
-        """Takes in an engine's lagged report of its load."""
+        """Updates an endpoint from its engine's delayed load report."""
         item = self._loads.get(report.endpoint)
         if item is not None:
             item.apply_report(report, now)
@@ -89,26 +89,26 @@
     def peer_load(
         self, peer: str, loads: tuple[work.PeerLoad, ...], now: float
     ) -> None:
-        """Takes in all that a peer has in flight; what it omits is none."""
+        """Replaces a peer's loads; it has none at endpoints that it omits."""
         self._peers[peer] = now
         before = self._peer_loads.get(peer, {})
         reported = {item.endpoint: item for item in loads}
         self._peer_loads[peer] = reported
-        # Only what changed is booked: a message costs what it tells of, not
-        # the size of the fleet.
+        # Only changed endpoints are updated, so that the cost of a message
+        # grows with its changes and not with the size of the fleet.
         gone = [address for address in before if address not in reported]
         for address in (*reported, *gone):
             if reported.get(address) != before.get(address):
                 self._update_peer_load(peer, address, now)
 
     def fresh_peers(self, now: float) -> int:
-        """Returns how many peers have been heard lately."""
+        """Returns the number of peers that sent their load recently."""
         return sum(
             now - at <= load.PEER_LOAD_TTL_S for at in self._peers.values()
         )
 
     def expire_peers(self, now: float) -> None:
-        """Forgets the loads of peers that fell silent."""
+        """Drops the loads of peers that have not sent any recently."""
         silent = [
             peer
             for peer, at in self._peers.items()
@@ -120,7 +120,7 @@
                 self._update_peer_load(peer, address, now)
 
     def own_loads(self) -> tuple[work.PeerLoad, ...]:
-        """Returns what this host has in flight, for its peers."""
+        """Returns this host's requests in flight, to be sent to peers."""
         return tuple(
             work.PeerLoad(
                 endpoint=address,
@@ -134,7 +134,7 @@
         )
 
     def cache_event(self, endpoint: str, prefix: int, stored: bool) -> None:
-        """Takes in that an engine stored or evicted a prompt block."""
+        """Notes that an engine stored or evicted a block of a prompt."""
         for key in self._pool_keys.get(endpoint, ()):
             prefixes = self._pools[key].pool.prefixes
             if stored:
@@ -145,7 +145,7 @@
     def book(
         self, item: load.EndpointLoad, amount: load.Amount, now: float
     ) -> None:
-        """Adds to this host's work in flight at an endpoint."""
+        """Adds to this host's requests in flight at an endpoint."""
         item.add_own(amount, now)
         self._refresh(item.endpoint.address)
 
@@ -159,19 +159,19 @@
     def observe_ratio(
         self, item: load.EndpointLoad, ratio: float, now: float
     ) -> None:
-        """Notes an answer's observed to predicted time."""
+        """Notes an answer's ratio of observed to predicted time."""
         item.health.observe(ratio)
         self._update_ejection(item, now)
 
     def capacity(self, model: str) -> tuple[float, float]:
-        """Returns the tokens a second that one engine reads and generates."""
+        """Returns one engine's tokens per second in prefill and decode."""
         state = self._pools.get(("model", model))
         costs = state.pool.cost_model if state else cost.CostModel()
         batch = cost.PLANNING_BATCH
         return 1.0 / costs.prefill_s(1.0), batch / costs.step_s(batch)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the state for a person, ready for JSON."""
+        """Returns the state for diagnosis, ready for JSON."""
         return {
             "peers": sorted(self._peers),
             "endpoints": {
--- a/packages/bulrushgrade/bulrushgrade/prefix.py
+++ b/packages/bulrushgrade/bulrushgrade/prefix.py
@@ -1,16 +1,16 @@
-"""Which engines should have which prompt blocks in their caches."""
+"""An index of the prompt blocks that endpoints are expected to have cached."""
 
 import collections
 
 MAX_HOLDERS = 3
-"""Engines looked at because they hold a prefix."""
+"""Largest number of endpoints returned by `PrefixIndex.find`."""
 
 MAX_INDEXED_BLOCKS = 60_000
-"""Blocks remembered a pool, about 100 bytes each."""
+"""Largest number of blocks in a pool's index, about 100 bytes each."""
 
 
 class PrefixIndex:
-    """Which endpoints should have which prompt blocks in their caches."""
+    """An index of prompt blocks by endpoint, limited as an LRU cache."""
 
     def __init__(self):
         self._holders: collections.OrderedDict[int, dict[str, None]] = (
@@ -21,7 +21,7 @@
         return len(self._holders)
 
     def add(self, prefix: tuple[int, ...], address: str) -> None:
-        """Notes that an endpoint reads these blocks."""
+        """Adds blocks that an endpoint prefills."""
         for block in prefix:
             holders = self._holders.setdefault(block, {})
             holders.pop(address, None)
@@ -31,15 +31,16 @@
             self._holders.popitem(last=False)
 
     def discard(self, block: int, address: str) -> None:
-        """Notes that an endpoint has evicted a block."""
+        """Removes a block that an endpoint has evicted."""
         self._holders.get(block, {}).pop(address, None)
 
     def find(self, prefix: tuple[int, ...]) -> dict[str, int]:
-        """Returns how many leading blocks the best holders have.
+        """Returns the number of leading blocks that the best endpoints hold.
 
-        Who holds a block holds those before it, but for evictions not heard
-        of, so the longest known part is found by halving, and holders of
-        shorter parts at its quarters: a few look-ups for any length.
+        An endpoint that holds a block also holds those before it, apart from
+        evictions that were not reported. So the longest known prefix is found
+        by binary search, and holders of shorter prefixes at quarters of its
+        length: a few look-ups for any length.
         """
         known, unknown = 0, len(prefix) + 1
         while unknown - known > 1:
--- a/packages/bulrushgrade/bulrushgrade/progress.py
+++ b/packages/bulrushgrade/bulrushgrade/progress.py
@@ -1,4 +1,4 @@
-"""Requests that are at an endpoint, and what their progress teaches."""
+"""Requests in progress at endpoints, and learning from their timing."""
 
 import attrs
 
@@ -10,49 +10,51 @@
 
 LATE_START_FACTOR = 2.0
 LATE_START_S = 0.3
-"""A wait for the first token of this many times the prediction, and at least
-these seconds, counts as queueing inside the engine: below, it is within what
-the prediction itself gets wrong."""
+"""A wait for the first token of this many times the prediction, and of at least
+this many seconds, counts as queueing inside the engine. A shorter one is within
+the error of the prediction."""
 
 MAX_BACKLOG_FRACTION = 0.1
-"""Reading speed is learned only from work that met little before it. What
-waits at an engine is known from stale messages: a line through such points
-is too flat (errors in x), and reading looks three times as cheap as it is."""
+"""Prefill speed is learned only from requests whose prompt met a backlog of at
+most this fraction of it. The backlog of an engine is known from old messages: a
+line through such points is too flat (errors in x), and prefill looks three
+times as cheap as it is."""
 
 PEER_MESSAGE_DELAY_S = 0.5
-"""After so long, what others had at an engine has been heard."""
+"""Delay after which peers' messages about an earlier time have arrived."""
 
 RATIO_SMOOTHING = 0.1
-"""Weight of one answer in an endpoint's speed: about ten answers to follow a
-change, while one odd answer moves it little."""
+"""Smoothing factor of one answer in an endpoint's speed: it follows a change
+within about ten answers, while a single outlier changes it little."""
 
 MIN_PACE_INTERVAL_S = 0.5
-"""Seconds between two measurements of an answer's pace, at the least. The
-longer it is, the longer work waits that can't be in time."""
+"""Minimum time between two measurements of an answer's pace. A longer one
+delays the refusal of queued work that can't be in time."""
 
 MAX_RATIO = 20.0
-"""An answer that was stuck must not outweigh all those around it."""
+"""Upper bound of a ratio, so that one stalled answer doesn't dominate."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Progress:
-    """A request that is at an endpoint.
+    """A request in progress at an endpoint.
 
     Attributes:
         item: The request as it was queued.
         pool: The pool that it was placed in.
-        option: Where it was placed.
-        placed_at: When.
-        ahead_tokens: Tokens to be read before its answer, its own included.
-        running: Requests at its decode endpoint, itself included.
-        prefill_load: What is booked on its endpoint until the prompt is read.
-        decode_load: What is booked on its decode endpoint until its end.
-        is_prefilled: Whether the prompt has been read.
-        prefill_took_s: Seconds until the prompt was read.
-        first_at: When its first token came.
-        tokens: Tokens that came by now.
-        pace_measured_at: When its pace was last looked at.
-        pace_measured_tokens: How many tokens it had then.
+        option: The option by which it was placed.
+        placed_at: Time of the placement.
+        ahead_tokens: Tokens to be prefilled before its first token, its own
+            included.
+        running: Requests at its decode endpoint, this one included.
+        prefill_load: Load on its endpoint until the prefill has ended.
+        decode_load: Load on its decode endpoint until its end.
+        is_prefilled: Whether the prefill has ended.
+        prefill_took_s: Seconds from the placement to the end of the prefill.
+        first_at: Time of its first token.
+        tokens: Number of tokens so far.
+        pace_measured_at: Time of the last measurement of its pace.
+        pace_measured_tokens: Number of tokens at that time.
     """
 
     item: lane.QueuedWork
@@ -77,7 +79,7 @@
     option: placement.Option,
     now: float,
 ) -> Progress:
-    """Describes a request that is placed now, before it is booked."""
+    """Returns the state of a request that is placed now; adds no load."""
     split = option.decode is not option.endpoint
     prompt = float(item.work.prompt_tokens)
     tokens = option.uncached_tokens
@@ -100,7 +102,7 @@
 
 
 def learn_first_token(progress: Progress, now: float) -> None:
-    """Learns from the time that reading took."""
+    """Learns from the time that a prefill took."""
     if not progress.item.work.model:
         return
     reader = progress.option.endpoint
@@ -117,14 +119,14 @@
 
 
 def learn_prefill(progress: Progress, cached_tokens: int) -> float:
-    """Learns the reading speed, once it is known what was cached.
+    """Learns the prefill speed, once the cached tokens are known.
 
     Args:
         progress: A complete request.
         cached_tokens: Prompt tokens that the engine had cached.
 
     Returns:
-        Tokens read beyond what was expected, or below zero fewer.
+        Prefilled tokens minus expected ones.
     """
     item = progress.item
     input_tokens = item.work.prompt_tokens + item.tokens_done
@@ -147,14 +149,14 @@
 
 
 def learn_pace(progress: Progress, count: int, now: float) -> float | None:
-    """Learns from the tokens of an answer that is still going on.
+    """Learns from the tokens of an answer in progress.
 
-    An engine that turned slow gives its first complete answer when that is
-    already late, so its pace is followed from token to token.
+    An engine that turned slow completes its first answer when that is already
+    late, so its pace is measured while the answer is generated.
 
     Returns:
-        Observed to predicted time between tokens, or None where that says
-        nothing of the engine's health.
+        Observed to predicted time between tokens, or None if that says
+        nothing about the engine's health.
     """
     progress.tokens = count
     elapsed = now - progress.pace_measured_at
@@ -166,8 +168,8 @@
     running = max(decoder.total.running, 1.0)
     ratio = _ratio(elapsed / tokens, progress.pool.cost_model.step_s(running))
     decoder.step_ratio += RATIO_SMOOTHING * (ratio - decoder.step_ratio)
-    # Answers on an engine that reads beside them are slow for that reason:
-    # taken for illness it would have the mixed engines ejected.
+    # On a mixed engine a concurrent prefill slows the answers down. Taken as
+    # bad health, that would eject the mixed engines.
     is_mixed = decoder.endpoint.role is work.Role.MIXED
     return None if is_mixed and decoder.total.prefill_tokens else ratio
 
@@ -177,7 +179,7 @@
 
     Returns:
         Observed to predicted time of a plain service's answer; None for a
-        model's, whose pace was followed while it went on.
+        model, whose pace was measured during the answer.
     """
     model = progress.pool.cost_model
     decoder = progress.option.decode
--- a/packages/bulrushgrade/bulrushgrade/queueing.py
+++ b/packages/bulrushgrade/bulrushgrade/queueing.py
@@ -1,7 +1,7 @@
-"""The queues of one pool of endpoints, and whose turn it is.
+"""The queues of one pool of endpoints, and the order in which they are served.
 
-Services take turns by their guaranteed shares, lanes by the time they used,
-and within a lane the work that has to start first goes first.
+Services are served by their guaranteed shares, the lanes of a service by the
+engine time that they used, and the items of a lane by their latest start.
 """
 
 from collections.abc import Callable
@@ -14,30 +14,31 @@
 from bulrushgrade import share
 
 MAX_CHARGE_WEIGHT = 0.95
-"""Weight of what alone is scarce; the other is never quite free, or a flood
-of it would cost nothing until it is scarce too."""
+"""Weight of prefill or decode time in a charge when it alone is scarce. The
+other keeps a small weight: a flood of it would cost nothing until it became
+scarce too."""
 
 SCARCITY_SMOOTHING = 0.02
-"""Weight of one attempt that found no room: some tens of them, a few seconds
-of a full fleet, to tell what is scarce."""
+"""Smoothing factor of one blocked placement: some tens of them, a few seconds
+at full load, decide whether prefill or decode is scarce."""
 
 MAX_LEAD_S = 10.0
-"""Virtual seconds by which a service may get ahead of one that waits for
-room. A shorter lead leaves engines idle at full load, as small work is held
-back that needs nothing of what the large waits for; a longer one lets small
+"""Virtual seconds by which a service may get ahead of one whose head is
+blocked. A smaller lead leaves engines idle at full load, as it holds back small
+work that doesn't need what the large work waits for; a larger one lets small
 work take the large work's share at four times the load."""
 
 
 LatestStart = Callable[[lane.QueuedWork], float]
-"""Returns when an item has to be placed to be in time."""
+"""Returns the time by which an item must be placed to be in time."""
 
 
 @attrs.define(kw_only=True)
 class PoolQueue:
-    """What waits for one pool of endpoints.
+    """The queued work of one pool of endpoints.
 
     Attributes:
-        shares: Whose turn it is among the services.
+        shares: Fair shares of the services.
     """
 
     shares: share.Shares = attrs.field(factory=share.Shares)
@@ -49,16 +50,16 @@
         return sum(len(queue) for queue in self._queues.values())
 
     def waiting(self, service: str) -> int:
-        """Returns how many requests of a service wait."""
+        """Returns the number of queued requests of a service."""
         queue = self._queues.get(service)
         return len(queue) if queue else 0
 
     def active(self) -> list[str]:
-        """Returns the services that have work waiting."""
+        """Returns the services with queued work."""
         return [name for name, queue in self._queues.items() if len(queue)]
 
     def add(self, item: lane.QueuedWork, now: float) -> None:
-        """Queues an item."""
+        """Adds an item to its lane."""
         service = item.work.service
         queue = self._queues.setdefault(service, lane.ServiceQueue())
         if not len(queue):
@@ -69,7 +70,7 @@
     def remove(
         self, item: lane.QueuedWork, now: float, *, placed_s: float = 0.0
     ) -> None:
-        """Takes an item out, with its price if it was placed."""
+        """Removes an item; `placed_s` is its price if it was placed."""
         service = item.work.service
         queue = self._queues[service]
         queue.lanes[item.lane].remove(item)
@@ -78,7 +79,7 @@
         )
 
     def place(self, item: lane.QueuedWork, now: float) -> None:
-        """Takes out an item that was placed, and books it."""
+        """Removes an item that was placed, and charges its service and lane."""
         service = item.work.service
         self.remove(item, now, placed_s=item.engine_s)
         part = self._prefill_weight
@@ -90,12 +91,12 @@
         self._queues[service].lanes[item.lane].used_s += charge
 
     def observe_blocked(self, *, prefill_bound: bool) -> None:
-        """Notes what waiting work had no room for.
+        """Notes whether prefill or decode capacity was lacking.
 
-        Services are charged for what is scarce. While engines that read are
-        full and those that answer idle, seconds of answering are nobody's
-        loss: charged in full they held chats back for nothing, and a fleet
-        at its capacity refused a third of them.
+        Services are charged for what is scarce. While prefill engines are full
+        and decode engines idle, decode time costs nobody anything: charging it
+        in full held chats back without need, and a fleet at its capacity
+        refused a third of them.
         """
         target = MAX_CHARGE_WEIGHT if prefill_bound else 1.0 - MAX_CHARGE_WEIGHT
         self._prefill_weight += SCARCITY_SMOOTHING * (
@@ -103,7 +104,7 @@
         )
 
     def heads(self) -> Iterator[lane.QueuedWork]:
-        """Yields the next item of each lane, in the order of turns."""
+        """Yields the head of each lane, in the order of service."""
         for service in self.shares.order(self.active()):
             for waiting in self._queues[service].lanes_by_usage():
                 head = waiting.head()
@@ -116,8 +117,8 @@
         """Removes and yields the items that can't be in time any more.
 
         Args:
-            now: The present time.
-            latest_start: Judges the head of a lane by what is known now.
+            now: The current time.
+            latest_start: Returns an item's latest start by the current load.
         """
         for queue in self._queues.values():
             for waiting in queue.lanes.values():
@@ -132,12 +133,12 @@
         engines: float,
         now: float,
     ) -> float:
-        """Predicts how long an item would wait if it were queued now.
+        """Predicts the waiting time of an item if it were queued now.
 
         Args:
             item: The item, not queued yet.
-            engines: This host's part of the fleet, in engines.
-            now: The present time.
+            engines: This host's part of the pool, in engines.
+            now: The current time.
         """
         service = item.work.service
         queue = self._queues.get(service)
@@ -153,7 +154,7 @@
         return self._drain_rates.setdefault(service, admission.DrainRate())
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Returns the queues' lengths for a person."""
+        """Returns the queues' lengths, for diagnosis."""
         return {
             service: {name.value: len(q.lanes[name]) for name in q.lanes}
             for service, q in self._queues.items()
@@ -164,21 +165,21 @@
 
 
 def dispatch(queue: PoolQueue, attempt: TryPlace, now: float) -> None:
-    """Places what can be placed, in the order of turns.
+    """Places queued items in the order of service until none can be placed.
 
-    A head that finds no room doesn't hold up the other lanes at once: a
-    reading that waits for an engine must not stop chats that need none. But
-    whoever overtakes a service that is behind its share may get ahead of it
-    by `MAX_LEAD_S` only. Without that bound small requests fill every gap
-    before it is large enough for a reading, and the readings' team gets a
-    fifth of what it is guaranteed.
+    A blocked head doesn't hold up the other lanes at once: a prefill that waits
+    for an engine must not stop chats that need no such engine. But a service
+    that overtakes one further behind its share may get ahead of it by
+    `MAX_LEAD_S` only. Without that bound small requests take every gap before
+    it is large enough for a long prefill, and the service with long prefills
+    gets a fifth of its guaranteed share.
 
-    Each round either places one item or ends, and costs one attempt a lane.
+    Each round either places one item or ends, and costs one attempt per lane.
 
     Args:
         queue: The pool's queue.
-        attempt: Tries to place an item; True when it left the queue.
-        now: The present time.
+        attempt: Tries to place an item; returns True if it left the queue.
+        now: The current time.
     """
     placed = True
     while placed:
--- a/packages/bulrushgrade/bulrushgrade/retry.py
+++ b/packages/bulrushgrade/bulrushgrade/retry.py
@@ -1,9 +1,8 @@
-"""A budget for retries, and the time between them.
+"""A retry budget, and the delay before a retry.
 
-Load: an endpoint or the fleet fails while callers keep coming. Harm: every
-failure is tried again, the retries are a second load on what is left, and
-the outage outlives its cause. The budget ties retries to fresh traffic, so
-that they stay a fixed part of it however many requests fail.
+If every failed request is retried while callers keep sending, the retries add
+load to the remaining endpoints and the outage outlasts its cause. The budget
+limits retries to a fixed fraction of new requests, however many of these fail.
 """
 
 import random
@@ -13,15 +12,15 @@
 from bulrushgrade import work
 
 MAX_BALANCE = 64.0
-"""Retries that are saved up at most. An engine that dies takes its whole
-batch with it, and each of those answers has to go on elsewhere: that is one
-batch of work that was admitted already, not a growing load. With 3, an engine
-lost with 16 answers under way cut 13 of them."""
+"""Largest balance of a budget. An engine that dies fails its whole batch at
+once, and each of those answers has to continue elsewhere: that is one batch of
+already admitted work, not growing load. With 3, the loss of an engine with 16
+answers in progress cut 13 of them."""
 
 MAX_REJECTIONS = 8
-"""Endpoints that may turn a request away unstarted, as all engines of a zone
-do in a rolling restart; more often than that the view of the fleet is wrong
-and the caller had better come back."""
+"""Largest number of endpoints that may reject a request unstarted, as all
+engines of a zone do during a rolling restart. If more do, this host's view of
+the fleet is wrong, and the caller should retry later."""
 
 BASE_DELAY_S = 0.1
 MAX_DELAY_S = 2.0
@@ -29,22 +28,22 @@
 
 @attrs.define(kw_only=True)
 class RetryBudget:
-    """Retries that a service may still spend.
+    """The retries that a service may still make, as a token bucket.
 
     Attributes:
-        ratio: Retries earned by each fresh request.
-        balance: What is saved.
+        ratio: Retries added per new request.
+        balance: Retries available.
     """
 
     ratio: float
     balance: float = MAX_BALANCE
 
     def earn(self) -> None:
-        """Counts a fresh request."""
+        """Adds the share of a new request."""
         self.balance = min(self.balance + self.ratio, MAX_BALANCE)
 
     def spend(self) -> bool:
-        """Takes one retry, or returns False when the budget is out."""
+        """Takes one retry; returns False if none is available."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
@@ -60,24 +59,24 @@
     attempt: int,
     rejections: int,
 ) -> work.RefusalCode | None:
-    """Decides whether a request may be tried again.
+    """Returns whether and why a request must not be retried.
 
     Args:
-        budget: The service's; a retry that may go on is taken from it.
+        budget: Retry budget of the service; an allowed retry is taken from it.
         repeatable: Whether the request may run twice.
         started: Whether the endpoint may have started it.
-        max_attempts: Attempts that the service allows; a request that fails
-            everywhere is more likely the cause than the victim.
-        attempt: Started attempts before the next one.
-        rejections: Endpoints that did not start it.
+        max_attempts: Attempts that the service allows. A request that fails
+            everywhere is probably the cause of the failures.
+        attempt: Number of started attempts so far.
+        rejections: Number of endpoints that did not start it.
 
     Returns:
-        Why it may not be tried again, or None.
+        The reason of the refusal, or None if it may be retried.
     """
     if not started:
-        # What an endpoint turned away cost it nothing, so it is no load that
-        # the budget has to bound; counting it would cut requests whenever
-        # engines are drained faster than the host list tells.
+        # A rejection cost the endpoint nothing, so it is no load that the
+        # budget has to limit. Counting it would cut requests whenever engines
+        # drain before the host list shows it.
         if rejections < MAX_REJECTIONS:
             return None
         return work.RefusalCode.NO_ENDPOINT
@@ -91,15 +90,15 @@
 def endpoints_to_avoid(
     known: frozenset[str], failed: str, serving: int
 ) -> frozenset[str]:
-    """Returns the endpoints that a retry must not go to.
+    """Returns the endpoints that a retry must not use.
 
-    Where all have failed it, the first to fail may have come back; only the
-    last one is left out, and not even that where it is the only one.
+    If all of them failed it, the first may have recovered; then only the last
+    one is excluded, and not even that if it is the only one.
 
     Args:
-        known: Those that failed the request before.
-        failed: The one that failed it now.
-        serving: Endpoints in service that could do it.
+        known: Endpoints that failed the request before.
+        failed: Endpoint that failed it now.
+        serving: Number of serving endpoints that could do it.
     """
     both = known | {failed}
     if len(both) < serving:
@@ -108,11 +107,11 @@
 
 
 def delay_s(attempt: int, rng: random.Random) -> float:
-    """Returns how long to wait before an attempt, with full jitter.
+    """Returns the delay before an attempt, with full jitter.
 
-    The first retry goes at once to another endpoint: its caller waits and
-    the budget already bounds it. Later ones are spread, so that requests
-    that failed together do not come back together.
+    The first retry starts at once at another endpoint, as its caller waits and
+    the budget limits retries. Later ones are spread, so that requests that
+    failed together are not retried together.
 
     Args:
         attempt: 1 for the first retry.
--- a/packages/bulrushgrade/bulrushgrade/scheduler.py
+++ b/packages/bulrushgrade/bulrushgrade/scheduler.py
@@ -1,8 +1,9 @@
-"""The decisions under load behind one interface.
+"""Admission, queueing, placement and retries behind one interface.
 
-One scheduler a host. It is told what arrives, what the engines and peers
-report and how work goes on, and answers where work goes. It owns no socket
-and no clock: the daemon and the replay of traces drive the same code.
+Each host has one scheduler. It receives requests, load reports of engines and
+peers, and the progress of requests, and decides where requests go. It uses no
+socket and no clock, so that the daemon and the replay of traces run the same
+code.
 """
 
 import itertools
@@ -23,8 +24,9 @@
 from bulrushgrade import work
 
 POLL_INTERVAL_S = 0.1
-"""How often waiting work is looked at when nothing else happened: room that
-other hosts left shows by their messages, at about this interval."""
+"""Interval at which queued work is tried again without any other event.
+Capacity that other hosts release is seen by their load messages, which arrive
+at about this interval."""
 
 
 class Scheduler:
@@ -39,7 +41,7 @@
             admission.predicted_lateness_s
         ),
     ):
-        """Makes a scheduler without endpoints and services.
+        """Creates a scheduler without endpoints and services.
 
         Args:
             zone: The host's availability zone.
@@ -61,7 +63,7 @@
         self._counts = {"placed": 0, "queued": 0, "refused": 0, "retried": 0}
 
     def set_policies(self, policies: tuple[work.ServicePolicy, ...]) -> None:
-        """Replaces the service documents' policies."""
+        """Replaces the policies of all services."""
         self._policies = {policy.service: policy for policy in policies}
         self._fleet.set_policies(policies)
         for policy in policies:
@@ -73,48 +75,48 @@
     def set_endpoints(
         self, endpoints: tuple[work.Endpoint, ...], now: float
     ) -> None:
-        """Replaces the view of the endpoints; what is known of them stays.
+        """Replaces the set of endpoints; those that stay keep their state.
 
-        Requests at an endpoint that is gone stay with it until their owner
+        Requests at a removed endpoint stay assigned to it until their owner
         calls `retry`, `finished` or `cancel`.
         """
         self._fleet.set_endpoints(endpoints, now)
 
     def report(self, report: work.LoadReport, now: float) -> None:
-        """Takes in an engine's lagged report of its load."""
+        """Updates an endpoint from its engine's delayed load report."""
         self._fleet.report(report, now)
 
     def peer_load(
         self, peer: str, loads: tuple[work.PeerLoad, ...], now: float
     ) -> None:
-        """Takes in all that a peer has in flight; what it omits is none."""
+        """Replaces a peer's loads; it has none at endpoints that it omits."""
         self._fleet.peer_load(peer, loads, now)
 
     def own_loads(self) -> tuple[work.PeerLoad, ...]:
-        """Returns what this host has in flight, for its peers."""
+        """Returns this host's requests in flight, to be sent to peers."""
         return self._fleet.own_loads()
 
     def demand(self) -> tuple[work.Demand, ...]:
-        """Returns what was asked of this host, for the role plan."""
+        """Returns the demand on this host so far, for the role plan."""
         return self._offered.demands()
 
     def capacity(self, model: str) -> tuple[float, float]:
-        """Returns the tokens a second that one engine reads and generates."""
+        """Returns one engine's tokens per second in prefill and decode."""
         return self._fleet.capacity(model)
 
     def cache_event(self, endpoint: str, prefix: int, stored: bool) -> None:
-        """Takes in that an engine stored or evicted a prompt block."""
+        """Notes that an engine stored or evicted a block of a prompt."""
         self._fleet.cache_event(endpoint, prefix, stored)
 
     def offer(self, item: work.Work, now: float) -> work.Decision:
-        """Decides on a new request.
+        """Admits a new request.
 
         Args:
             item: The request.
-            now: The present time.
+            now: The current time.
 
         Returns:
-            Where it goes, or that it waits, or that it is refused.
+            The decision: placed, queued or refused.
         """
         if item.service not in self._policies:
             return self._refuse(item, work.RefusalCode.UNKNOWN_SERVICE)
@@ -130,16 +132,16 @@
         *,
         started: bool = True,
     ) -> work.Decision:
-        """Decides on a request whose endpoint failed it.
+        """Decides what to do with a request that failed at its endpoint.
 
-        Work that may not be repeated is refused once it may have run.
+        Work that is not repeatable is refused once it may have run.
 
         Args:
             request_id: A request that was placed.
             failed_endpoint: The endpoint that failed.
-            tokens_done: Tokens of the answer that the caller already has.
-            now: The present time.
-            started: False where the endpoint certainly did not start it.
+            tokens_done: Number of tokens that the caller already received.
+            now: The current time.
+            started: False if the endpoint certainly did not start the request.
         """
         failed = self._progress.pop(request_id)
         self._release(failed, now)
@@ -159,8 +161,9 @@
             return self._refuse(item.work, code)
         self._counts["retried"] += 1
         serving = self._fleet.serving(item.work)
-        # It was promised its whole answer when it was admitted; a first token
-        # that comes late after a failure is still worth having.
+        # Admission promised the whole answer: after a failure a late first
+        # token is still useful, so only the deadline of the whole answer
+        # counts.
         again = attrs.evolve(item.work, first_token_deadline=None)
         return self._admit(
             again,
@@ -175,7 +178,11 @@
         )
 
     def poll(self, now: float) -> tuple[work.Placed | work.Refused, ...]:
-        """Places or refuses waiting requests, and returns those settled."""
+        """Places or refuses queued requests.
+
+        Returns the decisions since the last call that were not returned to a
+        caller of `offer` or `retry`.
+        """
         self._fleet.expire_peers(now)
         for state in self._fleet.pools:
             if len(state.queue):
@@ -185,13 +192,13 @@
         return settled
 
     def next_poll(self, now: float) -> float | None:
-        """Returns when to poll next if nothing happens, or None."""
+        """Returns when to poll next if nothing else happens, or None."""
         if self._settled:
             return now
         return now + POLL_INTERVAL_S if self._waiting else None
 
     def cancel(self, request_id: str, now: float) -> None:
-        """Forgets a request whose caller has gone."""
+        """Drops a request whose caller has disconnected."""
         self._settled.pop(request_id, None)
         if request_id in self._waiting:
             state, item = self._waiting.pop(request_id)
@@ -200,7 +207,7 @@
             self._release(self._progress.pop(request_id), now)
 
     def prefill_done(self, request_id: str, now: float) -> None:
-        """Notes that the prompt was read, before a KV cache is moved."""
+        """Notes the end of a prefill, before the KV cache is moved."""
         current = self._progress.get(request_id)
         if current is None or current.is_prefilled:
             return
@@ -215,9 +222,9 @@
             current.first_at = current.pace_measured_at = now
 
     def tokens(self, request_id: str, count: int, now: float) -> None:
-        """Notes that an attempt has given `count` tokens by now.
+        """Notes that `count` tokens of an attempt have been generated so far.
 
-        To be called about every second or more often, and at the end.
+        To be called at least about once a second, and at the end.
         """
         current = self._progress.get(request_id)
         if current is not None:
@@ -235,9 +242,10 @@
 
         Args:
             request_id: The request.
-            outcome: ``complete``, or ``failed`` when it ends without a retry.
-            now: The present time.
-            cached_tokens: Prompt tokens that were cached, if the engine says.
+            outcome: ``complete``, or ``failed`` if it ends without a retry.
+            now: The current time.
+            cached_tokens: Prompt tokens that were cached, if the engine reports
+                it.
         """
         current = self._progress.pop(request_id, None)
         if current is None:
@@ -255,7 +263,7 @@
         self._observe(current, progress.learn_completion(current, now), now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the state for a person, ready for JSON."""
+        """Returns the state for diagnosis, ready for JSON."""
         return {
             "zone": self._zone,
             "counts": dict(self._counts),
@@ -348,12 +356,12 @@
     def _latest_start(
         self, pool: pool.Pool, item: lane.QueuedWork, step_ratio: float
     ) -> float:
-        """Returns when an item has to be placed by what is known now.
+        """Returns the latest start of an item by the current speed of engines.
 
-        What it was queued with is a guess where nothing had ended yet at
-        engines that turned slow: their answers teach their pace while they go
-        on, and work that waits behind them is told within about a second of
-        the first tokens that it is late, instead of at the guess.
+        The latest start at queueing time is an estimate from answers that have
+        ended. When engines turn slow, the answers in progress show it within
+        about a second of their first tokens, so that queued work that would be
+        late is refused then and not only at the old latest start.
         """
         if step_ratio <= 1.0:
             return item.latest_start
@@ -392,8 +400,9 @@
         self._fleet.book(option.decode, placed.decode_load, now)
         placement.record_placement(state.pool, item.work, option, now)
         self._counts["placed"] += 1
-        # Inside an engine a chat goes before a reading of equal priority: a
-        # reading bears a second's wait, a chat's first token does not.
+        # Inside an engine a short prefill goes before a long one of equal
+        # priority: a long one tolerates a second of delay, the first token of a
+        # chat doesn't.
         policy = self._policies[item.work.service]
         priority = 2 * policy.priority + (item.lane is lane.LaneName.LONG)
         self._settled[request_id] = option.to_placed(
@@ -425,5 +434,5 @@
         self._fleet.book(current.option.decode, ended, now)
 
     def _engine_share(self, pool: pool.Pool, now: float) -> float:
-        """This host's part of a pool, if all hosts get equal traffic."""
+        """This host's part of a pool's engines, assuming equal traffic."""
         return pool.serving() / (1.0 + self._fleet.fresh_peers(now))
--- a/packages/bulrushgrade/bulrushgrade/share.py
+++ b/packages/bulrushgrade/bulrushgrade/share.py
@@ -1,10 +1,10 @@
-"""Guaranteed shares of the fleet's time, with lending.
+"""Guaranteed shares of the fleet's time, with lending of unused time.
 
-Each service has a virtual time: engine seconds that it used over its share.
-The service that is furthest behind goes next. A service that asks for less
-than its share leaves the rest to the others, and what it left is not saved
-up: it gets its whole share again as soon as it asks, by the next free slot,
-which is within one service time of what the borrowers have running.
+Each service has a virtual time: the engine seconds that it used, divided by its
+share. The service with the smallest virtual time goes next. Time that a service
+leaves unused goes to the others and is not saved up. The service gets its whole
+share again as soon as it has work, by the next free slot: within one service
+time of the borrowers' running requests.
 """
 
 from collections.abc import Iterable
@@ -12,18 +12,18 @@
 import attrs
 
 MIN_SHARE = 0.01
-"""Share of a service that is guaranteed nothing: it lives on what is lent,
-and a zero would divide by zero."""
+"""Smallest share: a service without a guaranteed share lives on lent time, and
+zero would cause a division by zero."""
 
 MAX_CREDIT_S = 15.0
-"""Virtual seconds that a service keeps of what it is owed when its queue runs
-empty. Few readings arrive at one host, so their queue is empty between two
-of them; forgetting all of it each time left their team two thirds of its
-share under full load. More would let a silent service shut out the others."""
+"""Virtual seconds of credit that a service keeps when its queue runs empty. Few
+long prefills arrive at one host, so that their queue is empty between two of
+them; without credit their service got two thirds of its share under full load.
+More credit would let a service block the others after an idle time."""
 
 BURST_S = 2.0
-"""Seconds of its own share that a service which does not borrow may save;
-less would cut short bursts that its share covers."""
+"""Burst of a service that does not borrow, in seconds of its share; a smaller
+one would refuse bursts that its share covers."""
 
 
 @attrs.define(kw_only=True)
@@ -36,7 +36,7 @@
 
 
 class Shares:
-    """Orders services by how far they are behind their shares."""
+    """Orders services by their virtual time."""
 
     def __init__(self):
         self._accounts: dict[str, _Account] = {}
@@ -57,7 +57,7 @@
         account.borrow = borrow
 
     def share(self, service: str) -> float:
-        """Returns a service's guaranteed share, never zero."""
+        """Returns a service's guaranteed share, at least `MIN_SHARE`."""
         account = self._accounts.get(service)
         return account.share if account else MIN_SHARE
 
@@ -66,11 +66,11 @@
         return self._accounts[service].virtual_time_s
 
     def activate(self, service: str, active: Iterable[str]) -> None:
-        """Notes that a service starts to ask again.
+        """Notes that a service has work after an empty queue.
 
-        Its virtual time is brought up to that of those who are asking:
-        without it a service that was silent for an hour would be owed an
-        hour of the whole fleet, and shut out all others on its return.
+        Its virtual time is raised to that of the active services, less its
+        credit. Otherwise a service that was idle for an hour would be owed an
+        hour of the whole fleet, and would block all others on its return.
         """
         account = self._accounts[service]
         others = [
@@ -84,7 +84,7 @@
         )
 
     def charge(self, service: str, engine_s: float) -> None:
-        """Books engine seconds on a service."""
+        """Charges engine seconds to a service."""
         account = self._accounts[service]
         account.virtual_time_s += engine_s / account.share
         account.burst_s -= engine_s
@@ -94,18 +94,21 @@
         )
 
     def order(self, services: Iterable[str]) -> list[str]:
-        """Sorts services, the furthest behind its share first."""
+        """Sorts services by virtual time, the smallest first."""
         return sorted(
             services, key=lambda name: self._accounts[name].virtual_time_s
         )
 
     def may_run(self, service: str, engines: float, now: float) -> bool:
-        """Returns whether a service that does not borrow has time left.
+        """Returns whether a service may start work now.
+
+        A service that does not borrow is limited to its share by a token
+        bucket.
 
         Args:
             service: The service.
-            engines: This host's part of the fleet, in engines.
-            now: The present time.
+            engines: This host's part of the pool, in engines.
+            now: The current time.
         """
         account = self._accounts[service]
         if account.borrow:
@@ -117,7 +120,7 @@
         return account.burst_s > 0.0
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Returns each service's account for a person."""
+        """Returns the services' shares and virtual times, for diagnosis."""
         return {
             name: {"share": a.share, "used": round(a.virtual_time_s, 3)}
             for name, a in self._accounts.items()
--- a/packages/bulrushgrade/bulrushgrade/work.py
+++ b/packages/bulrushgrade/bulrushgrade/work.py
@@ -1,7 +1,7 @@
-"""Work, endpoints and their loads, as the decisions under load see them.
+"""Requests, endpoints, loads and decisions of the scheduler.
 
-All values are plain data. Times are absolute seconds of the deciding
-process's monotonic clock, except for names that end in ``_s``.
+All values are plain data. Times are seconds of the process's monotonic clock;
+names that end in ``_s`` are durations in seconds.
 """
 
 import enum
@@ -10,19 +10,19 @@
 import xxhash
 
 BLOCK_TOKENS = 64
-"""Tokens to one block of a prompt prefix; smaller blocks cost more hashing
-without finding more, as engines cache whole pages of about this size."""
+"""Tokens per block of a prompt prefix. Smaller blocks cost more hashing without
+finding more, as engines cache pages of about this size."""
 
 MAX_PREFIX_BLOCKS = 256
-"""Blocks hashed at most: bounds the cost of one admission for a caller that
-sends a book; what follows counts as not cached."""
+"""Largest number of blocks that are hashed. It bounds the cost of admitting a
+very long prompt; the rest of it counts as not cached."""
 
 BYTES_PER_TOKEN = 4
-"""Mean bytes of UTF-8 text to a token, until an engine's usage says more."""
+"""Assumed mean bytes of UTF-8 text per token."""
 
 
 class Role(enum.StrEnum):
-    """What kind of work an engine takes."""
+    """The kind of work that an engine takes."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -40,21 +40,21 @@
 
 @attrs.frozen(kw_only=True)
 class Work:
-    """One request of a caller, as far as decisions need to know it.
+    """The properties of a request that decisions depend on.
 
     Attributes:
-        request_id: Unique among the requests that are in progress.
-        service: The service document that it falls under.
-        team: The member team that owns the service.
-        model: The model or adapter asked for; empty for a plain service.
-        prompt_tokens: Length of the prompt.
-        output_tokens: Expected length of the answer.
+        request_id: Unique among the requests in progress.
+        service: Name of the service document that applies to it.
+        team: Team that owns the service.
+        model: Requested model or adapter; empty for a plain service.
+        prompt_tokens: Length of the prompt in tokens.
+        output_tokens: Expected length of the answer in tokens.
         prefix: Hashes of the prompt's leading blocks, see `prefix_blocks`.
-        deadline: When the whole answer has to be with the caller.
-        first_token_deadline: When its first token has to be, or None.
-        between_tokens_s: Longest mean time between tokens, or None.
-        priority: Smaller is sooner among services, see `ServicePolicy`.
-        repeatable: Whether it may be tried again after it may have run.
+        deadline: Time by which the whole answer must reach the caller.
+        first_token_deadline: Time by which its first token must, or None.
+        between_tokens_s: Largest mean time between tokens, or None.
+        priority: Priority of the service; smaller goes first.
+        repeatable: Whether it may be retried after it may have run.
     """
 
     request_id: str
@@ -73,20 +73,21 @@
 
 @attrs.frozen(kw_only=True)
 class ServicePolicy:
-    """What a service document says to the decisions.
+    """The settings of a service document that decisions depend on.
 
     Attributes:
         service: The service's name.
-        team: The member team that owns it.
-        share: Guaranteed part of the fleet's time, 0 to 1.
+        team: Team that owns it.
+        share: Guaranteed fraction of the fleet's time, 0 to 1.
         borrow: Whether it may use time that other services leave unused.
-        priority: Passed to engines; smaller is sooner.
-        queue_limit: Requests that one host queues for it at most.
-        max_wait_s: Seconds that a request waits in the queue at most.
-        max_attempts: Attempts a request that may have run, the first counted.
-        retry_ratio: Retries allowed to each fresh request.
-        goodput_weight: Worth of a second of an engine's useful work.
-        role_change_weight: Price of a second that a role change costs.
+        priority: Passed to engines; smaller goes first.
+        queue_limit: Largest number of its requests that one host queues.
+        max_wait_s: Longest time of a request in the queue.
+        max_attempts: Largest number of attempts that may have run, the first
+            included.
+        retry_ratio: Retries allowed per new request.
+        goodput_weight: Weight of a second of an engine's useful work.
+        role_change_weight: Weight of a second that a role change costs.
     """
 
     service: str
@@ -104,19 +105,19 @@
 
 @attrs.frozen(kw_only=True)
 class Endpoint:
-    """A model engine or a plain service's endpoint, as the view has it.
+    """A model engine or a plain service's endpoint.
 
     Attributes:
         address: ``IP:PORT``, unique.
         zone: Its availability zone.
-        service: The service of the host list that it belongs to.
-        model: The loaded model; empty for a plain service.
-        adapters: Adapters that it has loaded besides.
-        role: What kind of work it takes.
+        service: Service of the host list to which it belongs.
+        model: Loaded model; empty for a plain service.
+        adapters: Adapters that it has loaded.
+        role: Kind of work that it takes.
         state: Whether it can be given work.
-        slots: Requests that it runs at once at most.
-        kv_capacity_tokens: Tokens of KV cache; 0 means that it is not known.
-        moves_kv: Whether it exports and imports KV cache.
+        slots: Largest number of concurrent requests.
+        kv_capacity_tokens: Size of its KV cache in tokens; 0 if unknown.
+        moves_kv: Whether it can export and import KV cache.
     """
 
     address: str
@@ -133,7 +134,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """An engine's own figures, of `age_s` seconds ago."""
+    """An engine's load by its own report, `age_s` seconds ago."""
 
     endpoint: str
     running: int
@@ -146,9 +147,10 @@
 
 @attrs.frozen(kw_only=True)
 class PeerLoad:
-    """What one host has in flight at one endpoint.
+    """One host's requests in flight at one endpoint.
 
-    `short_backlog_tokens` are those of the backlog that are read first.
+    `short_backlog_tokens` is the part of the backlog that goes before long
+    prefills.
     """
 
     endpoint: str
@@ -160,16 +162,16 @@
 
 @attrs.frozen(kw_only=True)
 class Demand:
-    """What callers have asked one host for since its start, one model.
+    """Demand on one host for one model since the host's start.
 
-    Refused work counts as well: what is turned away is demand too.
+    Refused work is counted too, as it is part of the demand.
 
     Attributes:
         model: The model.
         prefill_tokens: Prompt tokens that were not cached.
-        output_tokens: Tokens of the answers, as expected.
-        kv_token_s: KV memory of the answers times how long they hold it.
-        lost_s: Engine seconds of the work that was refused for load.
+        output_tokens: Expected tokens of the answers.
+        kv_token_s: KV cache tokens of the answers times their duration.
+        lost_s: Engine seconds of work that was refused because of load.
     """
 
     model: str
@@ -181,18 +183,18 @@
 
 @attrs.frozen(kw_only=True)
 class Placed:
-    """The work goes to an endpoint now.
+    """The work is to be sent to an endpoint now.
 
     Attributes:
         request_id: The work's id.
-        endpoint: Where the prompt is read, and the answer generated unless
-            `decode_endpoint` says otherwise.
-        decode_endpoint: Where the KV cache is moved to and the answer
-            generated, or None.
+        endpoint: Endpoint that prefills the prompt, and generates the answer
+            unless `decode_endpoint` is set.
+        decode_endpoint: Endpoint that gets the KV cache and generates the
+            answer, or None.
         first_token_s: Predicted seconds until the first token.
         finish_s: Predicted seconds until the end of the answer.
-        cached_tokens: Prompt tokens that the endpoint should have cached.
-        priority: Passed to the endpoint; smaller is sooner.
+        cached_tokens: Prompt tokens that are expected to be cached there.
+        priority: Passed to the endpoint; smaller goes first.
     """
 
     request_id: str
@@ -206,7 +208,7 @@
 
 @attrs.frozen(kw_only=True)
 class Queued:
-    """The work waits at this host; `Scheduler.poll` will settle it.
+    """The work is queued at this host; `Scheduler.poll` returns its decision.
 
     Attributes:
         request_id: The work's id.
@@ -218,7 +220,7 @@
 
 
 class RefusalCode(enum.StrEnum):
-    """Why work is refused; nothing of it has run at any endpoint."""
+    """Reason codes of refusals."""
 
     OVERLOADED = "overloaded"
     QUEUE_FULL = "queue_full"
@@ -231,13 +233,13 @@
 
 @attrs.frozen(kw_only=True)
 class Refused:
-    """The work is not run here.
+    """The work is refused.
 
     Attributes:
         request_id: The work's id.
-        code: The kind of reason.
-        retry_after_s: When the same work could be in time, in seconds.
-        reason: For a person.
+        code: The reason code.
+        retry_after_s: Seconds after which the same work could be in time.
+        reason: Human-readable reason.
     """
 
     request_id: str
@@ -250,22 +252,21 @@
 
 
 def estimate_tokens(text: str) -> int:
-    """Returns about how many tokens a text has, without a tokenizer."""
+    """Returns an estimate of a text's tokens, without a tokenizer."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
 
 
 def prefix_blocks(text: str) -> tuple[int, ...]:
-    """Hashes the leading whole blocks of a prompt.
+    """Hashes the leading complete blocks of a prompt.
 
-    Each hash covers everything up to the end of its block, so that an equal
-    hash means an equal prefix, and the longest known one is found by
-    walking back from the last.
+    Each hash covers the prompt up to the end of its block, so that equal hashes
+    mean equal prefixes and the longest known prefix can be searched for.
 
     Args:
         text: The prompt.
 
     Returns:
-        One 64-bit hash a whole block, `MAX_PREFIX_BLOCKS` at most.
+        One 64-bit hash per block, at most `MAX_PREFIX_BLOCKS`.
     """
     raw = text.encode()
     size = BLOCK_TOKENS * BYTES_PER_TOKEN
--- a/packages/bulrushgrade/tests/test_admission.py
+++ b/packages/bulrushgrade/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of the admission's predictions."""
+"""Tests of admission control."""
 
 import random
 
--- a/packages/bulrushgrade/tests/test_answer.py
+++ b/packages/bulrushgrade/tests/test_answer.py
@@ -1,4 +1,4 @@
-"""Tests of putting an answer together."""
+"""Tests of assembling an answer."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -33,8 +33,8 @@
 
 
 def test_late_events_of_an_abandoned_attempt_are_dropped():
-    # A caller would see a token twice: the first engine went silent, the
-    # answer went on elsewhere, and then the first engine's events arrived.
+    # The first engine stalls, the answer continues at another one, and then the
+    # first engine's events arrive: the caller would see a token twice.
     state = answer.Answer()
     state.begin("a")
     _take(state, 0)
--- a/packages/bulrushgrade/tests/test_attempts.py
+++ b/packages/bulrushgrade/tests/test_attempts.py
@@ -25,8 +25,8 @@
 def test_booking_whose_answer_is_lost_is_not_sent_again():
     """A booking was written and the connection broke before its answer.
 
-    The crew may have been sent already. A second run would send another one,
-    and a refusal that says not run would have the caller do the same.
+    It may have run. A retry could book twice, and a refusal that says that
+    nothing ran would make the caller book again.
     """
     history = make_history(Outcome.LOST)
     assert not attempts.may_retry(once_route(max_attempts=3), history)
--- a/packages/bulrushgrade/tests/test_cost.py
+++ b/packages/bulrushgrade/tests/test_cost.py
@@ -22,10 +22,10 @@
 
 
 def test_unseen_waits_do_not_raise_the_prefill_cost():
-    """Every second reading meets work that another host had just placed.
+    """Every second prefill waits for work that another host had just placed.
 
-    Taken as reading time, the waits made the plan think that the fleet reads
-    at half its speed, and it took engines from callers that wait for answers.
+    Taken as prefill time, the waits made the role plan assume half of the
+    fleet's prefill speed, and it took engines from decode.
     """
     fit = cost.LinearFit(intercept=0.0, slope=2e-4, span=8000.0)
     for index in range(600):
--- a/packages/bulrushgrade/tests/test_ejection.py
+++ b/packages/bulrushgrade/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Tests of ejection and probing back."""
+"""Tests of ejecting and probing endpoints."""
 
 from bulrushgrade import ejection
 
@@ -12,10 +12,10 @@
 
 
 def test_slow_endpoint_is_ejected_probed_and_restored():
-    """One engine of four answers four times slower.
+    """One engine of four answers four times slower, so a quarter is late.
 
-    Callers see one request in four late. It is taken out; the first probe is
-    still slow, so it stays out longer; the next is as quick as the others.
+    It is ejected. The first probe is still slow, so it stays ejected for
+    longer; the next one is as fast as the others.
     """
     fleet = _fleet(4)
     slow = fleet[0]
--- a/packages/bulrushgrade/tests/test_eventstream.py
+++ b/packages/bulrushgrade/tests/test_eventstream.py
@@ -1,4 +1,4 @@
-"""Tests of cutting streams at whole events."""
+"""Tests of splitting a stream into events."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -21,10 +21,10 @@
 
 
 def test_stream_continues_at_another_endpoint():
-    """An engine dies in the middle of an event and another goes on.
+    """An engine dies in the middle of an event and another one continues.
 
-    Were the half event passed on, the caller would see it joined to the
-    first event of the second engine.
+    If the partial event were passed on, it would be joined to the first event
+    of the second engine.
     """
     splitter = eventstream.EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: ha")
--- a/packages/bulrushgrade/tests/test_limit.py
+++ b/packages/bulrushgrade/tests/test_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the adaptive limit."""
+"""Tests of the adaptive concurrency limit."""
 
 from bulrushgrade import limit
 
--- a/packages/bulrushgrade/tests/test_load.py
+++ b/packages/bulrushgrade/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the combination of own, peers' and reported load."""
+"""Tests of combining own, peers' and reported load."""
 
 from bulrushgrade import load
 from bulrushgrade import work
@@ -29,10 +29,11 @@
 
 
 def test_peer_heard_after_the_report_is_not_counted_twice():
-    """A peer places work, the engine reports it, then the peer tells of it.
+    """A peer's message about its work arrives after the engine's report of it.
 
-    Counted as a stranger's and as the peer's, one busy engine looked twice
-    as busy to every host, and callers were refused beside idle engines.
+    Counted as unattributed and as the peer's, the work made one busy engine
+    look twice as busy to every host, and callers were refused beside idle
+    engines.
     """
     item = _load()
     item.add_own(load.NO_LOAD, 9.0)
--- a/packages/bulrushgrade/tests/test_placement.py
+++ b/packages/bulrushgrade/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement among loads."""
+"""Tests of placement by load and prefix cache."""
 
 import collections
 import random
@@ -50,9 +50,9 @@
 
 
 def test_hosts_with_the_same_stale_view_spread_their_requests():
-    """Nine hosts see forty equal engines and each has one long reading.
+    """Nine hosts with equal views of forty engines place one long prefill each.
 
-    If all took the first of the same order, one engine would get all nine.
+    If all took the first engine of the same order, it would get all nine.
     """
     chosen = collections.Counter(
         _choose(
--- a/packages/bulrushgrade/tests/test_retry.py
+++ b/packages/bulrushgrade/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget."""
+"""Tests of the retry budget and delay."""
 
 import random
 
--- a/packages/bulrushgrade/tests/test_scheduler.py
+++ b/packages/bulrushgrade/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions under load, through the scheduler's interface."""
+"""Tests of the scheduler through its interface."""
 
 import random
 
@@ -122,7 +122,7 @@
         if isinstance(second, work.Placed):
             assert second.endpoint != first.endpoint
             made.finished(name, "complete", i * 0.2 + 0.15)
-    # What is saved up, and what the first offers earn besides.
+    # The initial balance, and what the new requests add.
     saved = int(retry.MAX_BALANCE)
     assert set(outcomes[:saved]) == {work.Placed}
     assert outcomes.count(work.Placed) <= saved + 0.1 * len(outcomes)
@@ -196,18 +196,18 @@
 
 @pytest.mark.parametrize("role", list(work.Role))
 def test_engines_of_one_role_alone_serve_all_work(role):
-    # A zone is lost, and with it every engine of the other role: callers
-    # would be refused until a change of role, which takes seconds and needs
-    # a lease, while engines that can do the work stand idle.
+    # If a zone fails with every engine of the other role, callers would be
+    # refused until a role change, which takes seconds and needs a lease, while
+    # engines that can do the work are idle.
     made = _scheduler(_engine(1, role=role), _engine(2, role=role))
     assert isinstance(made.offer(_work("a"), 0.0), work.Placed)
 
 
 def test_queued_request_is_refused_when_engines_slow_down():
-    # All engines take twice as long for a token as they were known to, and no
-    # answer has ended yet. A caller that waits behind them was told nothing
-    # until the latest start by the old pace, 2.4 s into its 4 s. The answers
-    # under way tell it with their next progress, every 16 tokens.
+    # All engines take twice the learned time per token, and no answer has ended
+    # yet. A queued caller was refused only at its latest start by the old pace,
+    # 2.4 s into its 4 s. The answers in progress show the new pace with their
+    # next progress, every 16 tokens.
     made = _scheduler(_engine(1, slots=16))
     running = [f"running-{number}" for number in range(16)]
     for name in running:
--- a/packages/bulrushgrade/tests/test_scheduler_machine.py
+++ b/packages/bulrushgrade/tests/test_scheduler_machine.py
@@ -1,4 +1,4 @@
-"""A state machine of hosts' requests through the scheduler."""
+"""A state machine test of the scheduler."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class SchedulerMachine(stateful.RuleBasedStateMachine):
-    """Every request is settled once, and the books balance."""
+    """Every request gets one decision, and the dump matches the requests."""
 
     def __init__(self):
         super().__init__()
@@ -130,7 +130,8 @@
     @stateful.invariant()
     def dump_is_consistent(self):
         dump = self.core.dump()
-        # A request that another's arrival settled is told of at the next poll.
+        # A request that was decided on while another arrived is returned by the
+        # next poll.
         assert dump["waiting"] + dump["settled"] == len(self.waiting)
         unreported = dump["in_progress"] - len(self.placed)
         assert 0 <= unreported <= dump["settled"]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -54,7 +54,7 @@
         history: Its attempts.
         avoid: Endpoints that it must not go to again.
         call: The answer that is being read, or None.
-        splitter: Cuts its events, for a stream.
+        splitter: Splits its events, for a stream.
         endpoint: Who had it last, or None.
         expired: Whether its deadline has passed.
         plan: Which engines have it, or None for a plain service.
