--- a/packages/bulrushgrade/bulrushgrade/admission.py
+++ b/packages/bulrushgrade/bulrushgrade/admission.py
@@ -83,9 +83,9 @@
     def note(self, *, busy: bool, now: float, placed_s: float = 0.0) -> None:
         """Records what was placed, and whether work is queued from now on."""
         elapsed = max(0.0, now - self._at) if self._busy else 0.0
-        keep = math.exp(-elapsed / RATE_WINDOW_S)
-        self._busy_s = self._busy_s * keep + elapsed
-        self._placed_s *= keep
+        decay = math.exp(-elapsed / RATE_WINDOW_S)
+        self._busy_s = self._busy_s * decay + elapsed
+        self._placed_s *= decay
         if self._busy:
             self._placed_s += placed_s
         self._at, self._busy = now, busy
--- a/packages/bulrushgrade/bulrushgrade/eventstream.py
+++ b/packages/bulrushgrade/bulrushgrade/eventstream.py
@@ -48,17 +48,17 @@
             _end_of_last_event(buffered, terminator)
             for terminator in _TERMINATORS
         )
-        whole, self._buffer = buffered[:end], buffered[end:]
-        if whole:
-            self._note(whole)
-        return whole
+        complete, self._buffer = buffered[:end], buffered[end:]
+        if complete:
+            self._note(complete)
+        return complete
 
     def drop_partial(self) -> None:
         """Drops a partial event, before another endpoint continues."""
         self._buffer = b""
 
-    def _note(self, whole: bytes) -> None:
-        for line in whole.splitlines():
+    def _note(self, complete: bytes) -> None:
+        for line in complete.splitlines():
             if line.startswith(_ID):
                 self._last_id = line[len(_ID) :].strip().decode("latin-1")
                 self._events += 1
--- a/packages/bulrushgrade/bulrushgrade/load.py
+++ b/packages/bulrushgrade/bulrushgrade/load.py
@@ -178,14 +178,14 @@
         It is called some time after the interval, when the messages that were
         in transit have arrived.
         """
-        most = 0.0
+        max_tokens = 0.0
         for at, _, peers, unattributed in reversed(self._history):
             if at <= until:
                 tokens = peers.prefill_tokens + unattributed.prefill_tokens
-                most = max(most, tokens)
+                max_tokens = max(max_tokens, tokens)
             if at <= since:
                 break
-        return most
+        return max_tokens
 
     def _recompute_total(self, now: float) -> None:
         self.total = self._own + self._peer_sum + self._unattributed
@@ -209,8 +209,8 @@
         of the peers' work since that time is used.
         """
         peers = self._peer_sum
-        for at, own, heard, _ in reversed(self._history):
-            peers = peers.maximum(heard)
+        for at, own, peer_sum, _ in reversed(self._history):
+            peers = peers.maximum(peer_sum)
             if at <= when:
                 return own + peers
         return peers
--- a/packages/bulrushgrade/bulrushgrade/offeredload.py
+++ b/packages/bulrushgrade/bulrushgrade/offeredload.py
@@ -43,10 +43,10 @@
         return tuple(
             work.Demand(
                 model=model,
-                prefill_tokens=round(read),
-                output_tokens=round(answered),
+                prefill_tokens=round(prefilled),
+                output_tokens=round(decoded),
                 kv_token_s=round(held),
                 lost_s=lost,
             )
-            for model, (read, answered, held, lost) in self._counts.items()
+            for model, (prefilled, decoded, held, lost) in self._counts.items()
         )
--- a/packages/bulrushgrade/bulrushgrade/placement.py
+++ b/packages/bulrushgrade/bulrushgrade/placement.py
@@ -138,7 +138,7 @@
 
 def choose(
     candidates: pool.Pool,
-    ask: PlacementRequest,
+    request: PlacementRequest,
     *,
     rng: random.Random,
     now: float,
@@ -147,7 +147,7 @@
 
     Args:
         candidates: The pool of endpoints that can do the work.
-        ask: The work and how far it has got.
+        request: The work and how far it has got.
         rng: Source of the draw among near-equal options.
         now: The current time.
 
@@ -155,34 +155,32 @@
         The best option, which may be late by up to `LATENESS_TOLERANCE_S`,
         or the reason why the work can't be placed now.
     """
-    hits = candidates.prefixes.find(ask.work.prefix)
-    prefiller_loads = [
+    hits = candidates.prefixes.find(request.work.prefix)
+    usable_prefillers = [
         prefiller
         for prefiller in _usable_endpoints(
-            candidates.prefillers(ask.work, hits), ask, now
+            candidates.prefillers(request.work, hits), request, now
         )
-        if _has_room(prefiller, ask)
-        and _accepts_prefill(candidates, prefiller, ask)
+        if _has_room(prefiller, request)
+        and _accepts_prefill(candidates, prefiller, request)
     ]
     options = [
         option
-        for prefiller in prefiller_loads
-        for option in _options(candidates, ask, prefiller, hits, now)
+        for prefiller in usable_prefillers
+        for option in _options(candidates, request, prefiller, hits, now)
     ]
     if not options:
         return (
             BlockedReason.NO_DECODE_ROOM
-            if prefiller_loads
+            if usable_prefillers
             else BlockedReason.NO_PREFILL_ROOM
         )
     best = min(option.score for option in options)
-    prefill_s_of_prompt = candidates.cost_model.prefill_s(
-        ask.work.prompt_tokens
-    )
+    prefill_time_s = candidates.cost_model.prefill_s(request.work.prompt_tokens)
     limit = (
         best * (1.0 + TIE_MARGIN_FRACTION)
         + TIE_MARGIN_S
-        + TIE_MARGIN_PREFILLS * prefill_s_of_prompt
+        + TIE_MARGIN_PREFILLS * prefill_time_s
     )
     near_best = [option for option in options if option.score <= limit]
     if len(near_best) > 2:
@@ -205,31 +203,31 @@
 
 def _options(
     candidates: pool.Pool,
-    ask: PlacementRequest,
+    request: PlacementRequest,
     prefiller: load.EndpointLoad,
     hits: dict[str, int],
     now: float,
 ) -> Iterator[Option]:
-    if not ask.work.model:
+    if not request.work.model:
         yield _plain_option(candidates, prefiller)
         return
     cached = hits.get(prefiller.endpoint.address, 0) * work.BLOCK_TOKENS
-    input_tokens = ask.work.prompt_tokens + ask.tokens_done
+    input_tokens = request.work.prompt_tokens + request.tokens_done
     uncached = max(float(input_tokens - cached), 1.0)
     # As with prefill in `Pool.prefillers`: when no decode engine is left, the
     # prefill engine generates the answer too.
     no_decoders = not candidates.has_decoders
     if no_decoders or prefiller.endpoint.role is not work.Role.PREFILL:
         yield _engine_option(
-            candidates, ask, prefiller, prefiller, uncached, now
+            candidates, request, prefiller, prefiller, uncached, now
         )
     if not prefiller.endpoint.moves_kv:
         return
-    for decoder in _usable_endpoints(candidates.decoders(), ask, now):
+    for decoder in _usable_endpoints(candidates.decoders(), request, now):
         can_import = decoder is not prefiller and decoder.endpoint.moves_kv
-        if can_import and _has_room(decoder, ask):
+        if can_import and _has_room(decoder, request):
             yield _engine_option(
-                candidates, ask, prefiller, decoder, uncached, now
+                candidates, request, prefiller, decoder, uncached, now
             )
 
 
@@ -250,27 +248,25 @@
 
 def _engine_option(
     candidates: pool.Pool,
-    ask: PlacementRequest,
+    request: PlacementRequest,
     prefiller: load.EndpointLoad,
     decoder: load.EndpointLoad,
     uncached: float,
     now: float,
 ) -> Option:
-    model, item = candidates.cost_model, ask.work
-    ahead = _backlog_tokens(prefiller, ask) + uncached
+    model, item = candidates.cost_model, request.work
+    ahead = _backlog_tokens(prefiller, request) + uncached
     first = model.first_token_s(ahead) * prefiller.first_token_ratio
     interference = 0.0
     if prefiller.endpoint.role is work.Role.MIXED:
-        prefill_s_of_prompt = (
-            model.prefill_s(uncached) * prefiller.first_token_ratio
-        )
+        prefill_time_s = model.prefill_s(uncached) * prefiller.first_token_ratio
         interference = (
-            INTERFERENCE_WEIGHT * prefill_s_of_prompt * prefiller.total.running
+            INTERFERENCE_WEIGHT * prefill_time_s * prefiller.total.running
         )
     if decoder is not prefiller:
         first += KV_TRANSFER_S + KV_TRANSFER_S_PER_TOKEN * item.prompt_tokens
     step = model.step_s(decoder.total.running + 1) * decoder.step_ratio
-    finish = first + ask.answer_tokens * step
+    finish = first + request.answer_tokens * step
     limit = item.between_tokens_s
     step_excess = max(0.0, step / limit - 1.0) if limit else 0.0
     late = max(0.0, admission.lateness_s(item, first, finish, now))
@@ -288,14 +284,14 @@
 
 
 def _backlog_tokens(
-    prefiller: load.EndpointLoad, ask: PlacementRequest
+    prefiller: load.EndpointLoad, request: PlacementRequest
 ) -> float:
     total = prefiller.total
-    return total.short_tokens if ask.short else total.prefill_tokens
+    return total.short_tokens if request.short else total.prefill_tokens
 
 
 def _usable_endpoints(
-    items: list[load.EndpointLoad], ask: PlacementRequest, now: float
+    items: list[load.EndpointLoad], request: PlacementRequest, now: float
 ) -> list[load.EndpointLoad]:
     """Returns the allowed endpoints that are not ejected.
 
@@ -303,20 +299,26 @@
     one endpoint of two has a better chance at the other, although that was slow
     or failed a while ago, than without any attempt.
     """
-    allowed = [item for item in items if item.endpoint.address not in ask.avoid]
+    allowed = [
+        item for item in items if item.endpoint.address not in request.avoid
+    ]
     return [item for item in allowed if item.placeable(now)] or allowed
 
 
-def _has_room(item: load.EndpointLoad, ask: PlacementRequest) -> bool:
+def _has_room(item: load.EndpointLoad, request: PlacementRequest) -> bool:
     if not item.limit.admits(item.total.running):
         return False
     capacity, held = item.kv_capacity_tokens, item.total.kv_tokens
-    need = ask.work.prompt_tokens + ask.work.output_tokens
+    need = request.work.prompt_tokens + request.work.output_tokens
     return not capacity or not held or held + need <= MAX_KV_FRACTION * capacity
 
 
 def _accepts_prefill(
-    candidates: pool.Pool, prefiller: load.EndpointLoad, ask: PlacementRequest
+    candidates: pool.Pool,
+    prefiller: load.EndpointLoad,
+    request: PlacementRequest,
 ) -> bool:
-    waiting_s = candidates.cost_model.prefill_s(_backlog_tokens(prefiller, ask))
+    waiting_s = candidates.cost_model.prefill_s(
+        _backlog_tokens(prefiller, request)
+    )
     return waiting_s * prefiller.first_token_ratio <= MAX_PREFILL_BACKLOG_S
--- a/packages/bulrushgrade/bulrushgrade/progress.py
+++ b/packages/bulrushgrade/bulrushgrade/progress.py
@@ -105,17 +105,17 @@
     """Learns from the time that a prefill took."""
     if not progress.item.work.model:
         return
-    reader = progress.option.endpoint
+    prefiller = progress.option.endpoint
     model = progress.pool.cost_model
     elapsed_s = now - progress.placed_at
     predicted = model.first_token_s(progress.ahead_tokens)
     progress.prefill_took_s = elapsed_s
     ratio = _ratio(elapsed_s, predicted)
-    reader.first_token_ratio += RATIO_SMOOTHING * (
-        ratio - reader.first_token_ratio
+    prefiller.first_token_ratio += RATIO_SMOOTHING * (
+        ratio - prefiller.first_token_ratio
     )
     late = elapsed_s > max(LATE_START_FACTOR * predicted, LATE_START_S)
-    reader.limit.observe(late=late, running=reader.total.running, now=now)
+    prefiller.limit.observe(late=late, running=prefiller.total.running, now=now)
 
 
 def learn_prefill(progress: Progress, cached_tokens: int) -> float:
@@ -130,22 +130,24 @@
     """
     item = progress.item
     input_tokens = item.work.prompt_tokens + item.tokens_done
-    read = max(1.0, float(input_tokens - cached_tokens))
+    prefilled_tokens = max(1.0, float(input_tokens - cached_tokens))
     expected = progress.option.uncached_tokens
     ahead = progress.ahead_tokens - expected
     if (
         progress.prefill_took_s is not None
-        and ahead <= MAX_BACKLOG_FRACTION * read
+        and ahead <= MAX_BACKLOG_FRACTION * prefilled_tokens
     ):
         start = progress.placed_at
         end = start + progress.prefill_took_s + PEER_MESSAGE_DELAY_S
         foreign_tokens = progress.option.endpoint.foreign_prefill_tokens(
             start, end
         )
-        if foreign_tokens <= MAX_BACKLOG_FRACTION * read:
+        if foreign_tokens <= MAX_BACKLOG_FRACTION * prefilled_tokens:
             first = progress.pool.cost_model.first
-            first.learn_clipped(ahead + read, progress.prefill_took_s)
-    return read - expected
+            first.learn_clipped(
+                ahead + prefilled_tokens, progress.prefill_took_s
+            )
+    return prefilled_tokens - expected
 
 
 def learn_pace(progress: Progress, count: int, now: float) -> float | None:
--- a/packages/bulrushgrade/bulrushgrade/retry.py
+++ b/packages/bulrushgrade/bulrushgrade/retry.py
@@ -100,9 +100,9 @@
         failed: Endpoint that failed it now.
         serving: Number of serving endpoints that could do it.
     """
-    both = known | {failed}
-    if len(both) < serving:
-        return both
+    all_failed = known | {failed}
+    if len(all_failed) < serving:
+        return all_failed
     return frozenset({failed}) if serving > 1 else frozenset()
 
 
--- a/packages/bulrushgrade/bulrushgrade/scheduler.py
+++ b/packages/bulrushgrade/bulrushgrade/scheduler.py
@@ -377,13 +377,13 @@
     def _place(
         self, state: pools.PoolState, item: lane.QueuedWork, now: float
     ) -> bool:
-        ask = placement.PlacementRequest(
+        request = placement.PlacementRequest(
             work=item.work,
             short=item.lane is lane.LaneName.SHORT,
             avoid=item.avoid,
             tokens_done=item.tokens_done,
         )
-        option = placement.choose(state.pool, ask, rng=self._rng, now=now)
+        option = placement.choose(state.pool, request, rng=self._rng, now=now)
         if isinstance(option, placement.BlockedReason):
             if option is not placement.BlockedReason.LATE:
                 prefill_bound = (
--- a/packages/bulrushgrade/tests/test_placement.py
+++ b/packages/bulrushgrade/tests/test_placement.py
@@ -22,7 +22,7 @@
     return made
 
 
-def _ask(prompt=500, output=50, hashes=(), **more):
+def _request(prompt=500, output=50, hashes=(), **more):
     wanted = work.Work(
         request_id="a", service="s", model="m", prompt_tokens=prompt,
         output_tokens=output, prefix=hashes, deadline=60.0, **more,
@@ -30,8 +30,10 @@
     return placement.PlacementRequest(work=wanted, short=prompt < 3000)
 
 
-def _choose(candidates, ask, seed=1):
-    return placement.choose(candidates, ask, rng=random.Random(seed), now=0.0)
+def _choose(candidates, request, seed=1):
+    return placement.choose(
+        candidates, request, rng=random.Random(seed), now=0.0
+    )
 
 
 def _busy(candidates, address, amount):
@@ -43,10 +45,10 @@
     candidates = _pool(4)
     hashes = tuple(range(90))
     candidates.prefixes.add(hashes, "e2")
-    ask = _ask(prompt=6000, hashes=hashes)
-    assert _choose(candidates, ask).endpoint.endpoint.address == "e2"
+    request = _request(prompt=6000, hashes=hashes)
+    assert _choose(candidates, request).endpoint.endpoint.address == "e2"
     _busy(candidates, "e2", load.Amount(30.0, 20_000.0, 60_000.0))
-    assert _choose(candidates, ask).endpoint.endpoint.address != "e2"
+    assert _choose(candidates, request).endpoint.endpoint.address != "e2"
 
 
 def test_hosts_with_the_same_stale_view_spread_their_requests():
@@ -56,7 +58,7 @@
     """
     chosen = collections.Counter(
         _choose(
-            _pool(40, seed=host), _ask(prompt=8000), host
+            _pool(40, seed=host), _request(prompt=8000), host
         ).endpoint.endpoint.address
         for host in range(9)
     )
@@ -67,7 +69,8 @@
     candidates = _pool(1)
     _busy(candidates, "e0", load.Amount(2.0, 0.0, 99_000.0))
     assert (
-        _choose(candidates, _ask()) is placement.BlockedReason.NO_PREFILL_ROOM
+        _choose(candidates, _request())
+        is placement.BlockedReason.NO_PREFILL_ROOM
     )
     split = _pool(2, role=work.Role.PREFILL)
     answering = work.Endpoint(
@@ -77,23 +80,23 @@
         role=work.Role.DECODE,
     )
     split.put(load.EndpointLoad(endpoint=answering))
-    assert _choose(split, _ask()).decode.endpoint.address == "d0"
+    assert _choose(split, _request()).decode.endpoint.address == "d0"
     _busy(split, "d0", load.Amount(2.0, 0.0, 99_000.0))
-    assert _choose(split, _ask()) is placement.BlockedReason.NO_DECODE_ROOM
+    assert _choose(split, _request()) is placement.BlockedReason.NO_DECODE_ROOM
 
 
 def test_work_that_would_end_late_is_held_back():
     candidates = _pool(1)
     candidates.loads["e0"].step_ratio = 100.0
-    assert _choose(candidates, _ask()) is placement.BlockedReason.LATE
+    assert _choose(candidates, _request()) is placement.BlockedReason.LATE
 
 
 def test_chat_avoids_the_engine_whose_tokens_come_slowly():
     candidates = _pool(3)
     for address in ("e0", "e1"):
         candidates.loads[address].step_ratio = 4.0
-    ask = _ask(between_tokens_s=0.05)
-    assert _choose(candidates, ask).decode.endpoint.address == "e2"
+    request = _request(between_tokens_s=0.05)
+    assert _choose(candidates, request).decode.endpoint.address == "e2"
 
 
 def test_prefix_index_finds_the_longest_holders_and_is_bounded():
@@ -111,7 +114,7 @@
     candidates = _pool(2)
     for address in ("e0", "e1"):
         candidates.loads[address].health.eject(0.0)
-    only_e1 = attrs.evolve(_ask(), avoid=frozenset({"e0"}))
+    only_e1 = attrs.evolve(_request(), avoid=frozenset({"e0"}))
     assert _choose(candidates, only_e1).endpoint.endpoint.address == "e1"
     leaving = work.Endpoint(
         address="e1", model="m", state=work.EndpointState.LEAVING
