--- a/packages/bulrushgrade/bulrushgrade/cost.py
+++ b/packages/bulrushgrade/bulrushgrade/cost.py
@@ -12,7 +12,7 @@
 
 DECAY_SAMPLES = 300.0
 """Time constant of the decay, in samples: a few minutes of a busy host, so that
-a new model version is learned soon after its rollout."""
+a new model version is learned within one change of the traffic mix."""
 
 SLOW_SAMPLE_WEIGHT = 0.03
 CLIP_FACTOR = 2.0
--- a/packages/bulrushgrade/bulrushgrade/work.py
+++ b/packages/bulrushgrade/bulrushgrade/work.py
@@ -18,7 +18,8 @@
 very long prompt; the rest of it counts as not cached."""
 
 BYTES_PER_TOKEN = 4
-"""Assumed mean bytes of UTF-8 text per token."""
+"""Assumed mean bytes of UTF-8 text per token, until an engine reports its
+usage."""
 
 
 class Role(enum.StrEnum):
