--- a/packages/bulrushgrade/bulrushgrade/eventstream.py
+++ b/packages/bulrushgrade/bulrushgrade/eventstream.py
@@ -1,19 +1,20 @@
-"""Cuts a stream of numbered events at the ends of whole events.
+"""Splits a stream of numbered events into complete events.
 
-An endpoint that dies may leave half an event behind. Only whole events are
-passed on, so that what follows, from this endpoint or another, begins where
-an event begins.
+An endpoint that dies may leave a partial event. Only complete events are passed
+on, so that what follows, from this endpoint or another, starts at the beginning
+of an event.
 """
 
 MAX_EVENT_BYTES = 262_144
-"""The largest event; an endpoint that never ends one would fill the memory."""
+"""Largest size of an event. Without it an endpoint that never ends an event
+would fill the memory."""
 
 _TERMINATORS = (b"\n\n", b"\r\n\r\n")
 _ID = b"id:"
 
 
 class EventSplitter:
-    """Takes bytes as they arrive and gives whole events."""
+    """Takes chunks of bytes and returns complete events."""
 
     def __init__(self):
         self._buffer = b""
@@ -22,42 +23,42 @@
 
     @property
     def last_id(self) -> str | None:
-        """The id of the last whole event that had one."""
+        """The id of the last complete event that had one."""
         return self._last_id
 
     @property
     def events(self) -> int:
-        """How many whole events there were."""
+        """The number of complete events with an id."""
         return self._events
 
     @property
     def partial(self) -> bool:
-        """Whether the bytes so far end within an event."""
+        """Whether the stream so far ends within an event."""
         return bool(self._buffer.strip())
 
     @property
     def overflowed(self) -> bool:
-        """Whether an event is larger than any event may be."""
+        """Whether the partial event exceeds `MAX_EVENT_BYTES`."""
         return len(self._buffer) > MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the whole events that these bytes complete."""
+        """Returns the events that this chunk completes."""
         buffered = self._buffer + data
         end = max(
             _end_of_last_event(buffered, terminator)
             for terminator in _TERMINATORS
         )
-        whole, self._buffer = buffered[:end], buffered[end:]
-        if whole:
-            self._note(whole)
-        return whole
+        complete, self._buffer = buffered[:end], buffered[end:]
+        if complete:
+            self._note(complete)
+        return complete
 
     def drop_partial(self) -> None:
-        """Forgets half an event, before another endpoint goes on."""
+        """Drops a partial event, before another endpoint continues."""
         self._buffer = b""
 
-    def _note(self, whole: bytes) -> None:
-        for line in whole.splitlines():
+    def _note(self, complete: bytes) -> None:
+        for line in complete.splitlines():
             if line.startswith(_ID):
                 self._last_id = line[len(_ID) :].strip().decode("latin-1")
                 self._events += 1
