--- a/packages/bulrushgrade_daemon/tests/test_group.py
+++ b/packages/bulrushgrade_daemon/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Tests of one group's turns, with a tracker of orders that is made up."""
+"""Tests of one group's turns, with a fake order tracker."""
 
 import types
 
