--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
@@ -331,8 +331,8 @@
             has_token=event.text is not None,
             finish=finish,
         )
-        if step is not answer_module.Step.DELIVER:
-            return step is answer_module.Step.DROP
+        if step is not answer_module.EventAction.DELIVER:
+            return step is answer_module.EventAction.DROP
         job.watch.progress()
         if event.usage is not None:
             job.cached_tokens = _read_cached(event.usage)
