--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -55,8 +55,8 @@
         timers: The timer service.
         log: Reads the control streams.
         writer: Appends to them.
-        place: Knows the engines' reports and keeps work from them.
-        ties: Knows the listed hosts.
+        placement: Knows the engines' reports and keeps work from them.
+        host_mesh: Knows the listed hosts.
         orders: Writes orders to engines.
         capacity: Returns what an engine of a model reads and generates.
         demands: Returns what callers have asked this host for.
@@ -66,8 +66,8 @@
     timers: Any
     log: logclient.LogClient
     writer: logwriter.LogWriter
-    place: placing.Placing
-    ties: mesh.Mesh
+    placement: placing.Placing
+    host_mesh: mesh.Mesh
     orders: orders.OrderClient
     capacity: Callable[[str], tuple[float, float]]
     demands: Callable[[], tuple[work.Demand, ...]]
@@ -221,14 +221,16 @@
     def _plan(self) -> None:
         now = self._parts.timers.now
         self._take_demands(
-            self._parts.ties.own, tuple(self._parts.demands()), now
+            self._parts.host_mesh.listed_address,
+            tuple(self._parts.demands()),
+            now,
         )
         for group in self._groups:
             group.plan(now)
 
     def _update_engines(self, group: group_module.Group) -> None:
         hosts = self._hosts_of(group)
-        endpoints = self._parts.place.endpoints
+        endpoints = self._parts.placement.endpoints
         group.set_engines(
             {
                 h.address: endpoints[h.address]
@@ -245,7 +247,7 @@
         service, place = group_module.parse_group(group.name)
         return tuple(
             host
-            for host in self._parts.ties.hosts
+            for host in self._parts.host_mesh.hosts
             if host.kind is membership.Kind.ENGINE
             and host.service == service
             and place in (host.zone, host.region)
@@ -258,18 +260,18 @@
             return None
         daemons = [
             host
-            for host in self._parts.ties.hosts
+            for host in self._parts.host_mesh.hosts
             if host.kind is membership.Kind.ENTRY
         ]
         place = (hosts[0].region, hosts[0].zone)
         candidates = subset.choose_candidates(group.name, place, daemons)
-        own = self._parts.ties.own
+        own = self._parts.host_mesh.listed_address
         return candidates.index(own) if own in candidates else None
 
     def _take_demands(
         self, host: str, demands: tuple[work.Demand, ...], now: float
     ) -> None:
-        endpoints = self._parts.place.endpoints
+        endpoints = self._parts.placement.endpoints
         for group in self._groups:
             models = {
                 endpoints[h.address].model
@@ -294,7 +296,7 @@
         # the outage though it serves; if it does change, its own report and
         # its refusals keep work away, at the cost of one more attempt.
         held = held and self._parts.log.reachable
-        self._parts.place.hold(address, held=held)
+        self._parts.placement.hold(address, held=held)
 
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
@@ -26,15 +26,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class Daemons:
+class LiveDaemons:
     """Who may append checkpoints.
 
     Attributes:
-        own: This daemon's address, as the host list shows it.
+        own_address: This daemon's address, as the host list shows it.
         live: The addresses of the live daemons, this one included.
     """
 
-    own: str
+    own_address: str
     live: tuple[str, ...]
 
 
@@ -101,7 +101,7 @@
         return self._service_index
 
     @property
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         """Why the host can't serve from what it has read, or None."""
         # Once it has served it goes on: accepted documents never revert, so
         # an older set is right for all but the newest changes, and refusing
@@ -134,7 +134,7 @@
         """Takes snapshots of peers, and who may append checkpoints."""
         if isinstance(message, publication.Snapshot):
             self.restore(message)
-        elif isinstance(message, Daemons):
+        elif isinstance(message, LiveDaemons):
             self._take_daemons(message)
 
     def restore(self, snapshot: publication.Snapshot) -> None:
@@ -152,7 +152,7 @@
             name: self._registry.accepted_revision(name) for name in names
         }
         return {
-            "not_ready": self.not_ready,
+            "not_ready": self.not_ready_reason,
             "digest": self._digest,
             "counts": dict(self._counts),
             "reader": self._tail.dump(),
@@ -195,12 +195,12 @@
         self._tail.seek(self._registry.read_offset)
         self._refresh()
 
-    def _take_daemons(self, message: Daemons) -> None:
+    def _take_daemons(self, message: LiveDaemons) -> None:
         self._hosts = message.live
-        if self._schedule is None or self._own != message.own:
-            self._own = message.own
+        if self._schedule is None or self._own != message.own_address:
+            self._own = message.own_address
             self._schedule = checkpoint.Schedule(
-                address=message.own,
+                address=message.own_address,
                 retention_s=RETENTION_S,
                 now=self._timers.now,
             )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleet.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginepoller.py
@@ -14,7 +14,7 @@
 PERIOD_S = 0.25
 
 
-class Fleet:
+class EnginePoller:
     """Polls each engine on the host list for its report."""
 
     name = "fleet"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
@@ -22,7 +22,7 @@
 
 # An engine that refuses work without an order is brought back after so long:
 # the platform's own drain shows on the host list by then.
-STRANDED_S = 15.0
+UNORDERED_DRAIN_TIMEOUT_S = 15.0
 # Other hosts learn from the engine that it takes no work; a request that
 # bounces there costs one more attempt, so there is little to wait for.
 DROP_LIMIT_S = 0.5
@@ -34,17 +34,17 @@
     return service, place
 
 
-def seen_of(load: engine.EngineLoad) -> engineorder.EngineReport:
+def make_engine_report(load: engine.EngineLoad) -> engineorder.EngineReport:
     """Returns what an engine's report says of what it is."""
     return engineorder.EngineReport(
         state=load.state,
-        current=wanted_of(load),
+        current=reported_configuration(load),
         order_id=load.order_id or "",
         number=-1 if load.term is None else load.term,
     )
 
 
-def wanted_of(load: engine.EngineLoad) -> orderlog.Wanted:
+def reported_configuration(load: engine.EngineLoad) -> orderlog.Wanted:
     """Returns the role and model that an engine reports."""
     return orderlog.Wanted(
         role=load.role,
@@ -159,7 +159,7 @@
             return
         self._loads[address] = load
         self._seen_at = now
-        self.order_tracker.observe(address, seen_of(load), now)
+        self.order_tracker.observe(address, make_engine_report(load), now)
         if self._change is not None and self._change.engine == address:
             self._change.observe_load(
                 rolechange.Load(
@@ -205,7 +205,7 @@
         load = self._loads.get(proposed.endpoint)
         if load is None:
             return
-        before = wanted_of(load)
+        before = reported_configuration(load)
         self._plan.record_change(proposed, now)
         self._counts["role_changes"] += 1
         self._change = rolechange.RoleChange(
@@ -260,10 +260,10 @@
             change.phase == "ordering"
             and load is not None
             and change.engine not in unfinished
-            and wanted_of(load) == change.target
+            and reported_configuration(load) == change.target
             and load.state == "serving"
         ):
-            change.observe_outcome(wanted_of(load), now)
+            change.observe_outcome(reported_configuration(load), now)
         action = change.tick(now)
         if action is rolechange.Action.ASK_DRAIN:
             self._parts.ask_drain(change.engine)
@@ -299,10 +299,12 @@
         if not self.lease.holds_lease(now):
             return
         for address, since in self._stranded_since.items():
-            if now < since + STRANDED_S:
+            if now < since + UNORDERED_DRAIN_TIMEOUT_S:
                 continue
             load = self._loads[address]
-            intent = self.order_tracker.propose(address, wanted_of(load), now)
+            intent = self.order_tracker.propose(
+                address, reported_configuration(load), now
+            )
             if isinstance(intent, Success):
                 self._parts.append(
                     intent.unwrap(), self.order_tracker.append_failed
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -18,7 +18,7 @@
 from bulrushgrade_daemon import clock
 from bulrushgrade_daemon import documents
 from bulrushgrade_daemon import engine
-from bulrushgrade_daemon import fleet
+from bulrushgrade_daemon import enginepoller
 from bulrushgrade_daemon import hostlist
 from bulrushgrade_daemon import logclient
 from bulrushgrade_daemon import logwriter
@@ -148,7 +148,7 @@
             placing.Placing(timers=self._timers, core=self._core)
         )
         self._add(
-            fleet.Fleet(
+            enginepoller.EnginePoller(
                 timers=self._timers,
                 engines=self._engines,
                 kernel=self._kernel,
@@ -294,8 +294,8 @@
             timers=self._timers,
             log=self._log,
             writer=self._writer,
-            place=self._placing,
-            ties=self._mesh,
+            placement=self._placing,
+            host_mesh=self._mesh,
             orders=order_client,
             capacity=self._core.capacity,
             demands=self._core.demand,
@@ -342,6 +342,6 @@
         self._kernel.send("authority", service_index)
 
     def _not_ready(self) -> str | None:
-        if self._documents.not_ready is not None:
-            return self._documents.not_ready
+        if self._documents.not_ready_reason is not None:
+            return self._documents.not_ready_reason
         return None if self._hosts.known else "no host list has been read"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
@@ -53,7 +53,7 @@
         return self._hosts
 
     @property
-    def own(self) -> str:
+    def listed_address(self) -> str:
         """This host's address as the list shows it."""
         peer = self._own_peer_address()
         for host in self._hosts:
@@ -74,7 +74,7 @@
 
     def dump(self) -> dict[str, Any]:
         """Returns the endpoints that this host is tied to."""
-        return {"own": self.own, "tied": sorted(self._tied)}
+        return {"own": self.listed_address, "tied": sorted(self._tied)}
 
     def _take(self, message: membership.HostList) -> None:
         hosts = message.hosts
@@ -86,7 +86,7 @@
             hosts = (*hosts, self._make_own())
         self._hosts = hosts
         self._subsets.update(hosts)
-        self._tied = self._subsets.get_endpoints(self.own)
+        self._tied = self._subsets.get_endpoints(self.listed_address)
         tied = membership.HostList(
             version=message.version,
             hosts=tuple(h for h in hosts if h.address in self._tied),
@@ -99,9 +99,12 @@
             if host.kind is membership.Kind.ENTRY
         )
         self._kernel.send(
-            "documents", documents.Daemons(own=self.own, live=live)
+            "documents",
+            documents.LiveDaemons(own_address=self.listed_address, live=live),
+        )
+        peers = peermessages.list_peers(
+            self._subsets, hosts, self.listed_address
         )
-        peers = peermessages.list_peers(self._subsets, hosts, self.own)
         self._kernel.send("peers", peermessages.SetPeers(peers=peers))
 
     def _make_own(self) -> membership.Host:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
@@ -34,11 +34,11 @@
 LOADS_PERIOD_S = 0.5
 # How often withdrawn endpoints are told again although nothing changed, so
 # that a peer that missed the change learns it within seconds.
-REPEAT_S = 5.0
+WITHDRAWN_REPEAT_S = 5.0
 # How often and how many peers a starting daemon asks for a snapshot until one
 # answers. One answer would do; three make it likely that one is up to date.
-ASK_PERIOD_S = 0.5
-ASKED_PEERS = 3
+SNAPSHOT_REQUEST_PERIOD_S = 0.5
+SNAPSHOT_REQUEST_PEERS = 3
 # The plan of roles adds demand up over ten seconds and more.
 DEMANDS_PERIOD_S = 2.0
 # Loads that may be sent after a quiet time, as a multiple of a second's part.
@@ -134,8 +134,8 @@
         self._router = self._open(socket)
         self._subscriptions = [
             self._timers.every(LOADS_PERIOD_S, self._share_loads),
-            self._timers.every(REPEAT_S, self._send_withdrawn),
-            self._timers.every(ASK_PERIOD_S, self._ask),
+            self._timers.every(WITHDRAWN_REPEAT_S, self._send_withdrawn),
+            self._timers.every(SNAPSHOT_REQUEST_PERIOD_S, self._ask),
             self._timers.every(DEMANDS_PERIOD_S, self._share_demands),
         ]
 
@@ -316,7 +316,7 @@
             peerview.SnapshotRequest(header=self._make_header())
         )
         addresses = sorted(self._dealers)
-        count = min(ASKED_PEERS, len(addresses))
+        count = min(SNAPSHOT_REQUEST_PEERS, len(addresses))
         for address in self._rng.sample(addresses, count):
             self._send(address, raw)
 
--- a/packages/bulrushgrade_daemon/tests/control.py
+++ b/packages/bulrushgrade_daemon/tests/control.py
@@ -29,18 +29,18 @@
 STREAM = f"control.{GROUP}"
 TTL_S = 1.5
 GUARD_S = 0.2
-PAUSE_S = 1.0
+PAUSE_ALLOWANCE_S = 1.0
 _AUTHORITY = f"""
 [authority]
 groups = {GROUP}
 lease_ttl_s = {TTL_S}
 lease_guard_s = {GUARD_S}
-pause_allowance_s = {PAUSE_S}
+pause_allowance_s = {PAUSE_ALLOWANCE_S}
 """
 
 
 @attrs.frozen(kw_only=True)
-class Ending:
+class CommandResult:
     """How a command of the command line ended."""
 
     code: int
@@ -52,7 +52,7 @@
         return json.loads(self.text)
 
 
-class World:
+class Cluster:
     """A scene whose daemons are listed and seek authority."""
 
     def __init__(
@@ -120,12 +120,12 @@
         assert answer.code == 200, answer.body
         return answer.json["offsets"][0]
 
-    def claim(self) -> int:
+    def append_claim(self) -> int:
         """Claims the empty group for a holder that runs nowhere."""
         claim = leaselog.Claim(holder="gone", after_offset=-1)
         return self.append(STREAM, leaselog.CODEC.serialize(claim))
 
-    def intend(
+    def append_intent(
         self,
         engine: str,
         role: str,
@@ -210,7 +210,9 @@
     return f"/streams/{urllib.parse.quote(stream)}/records"
 
 
-def finish(command: subprocess.Popen[str], limit_s: float = 60.0) -> Ending:
+def finish(
+    command: subprocess.Popen[str], limit_s: float = 60.0
+) -> CommandResult:
     """Waits for a command and returns how it ended."""
     try:
         text, _ = command.communicate(timeout=limit_s)
@@ -218,7 +220,7 @@
         command.kill()
         command.communicate()
         raise
-    return Ending(code=command.returncode, text=text)
+    return CommandResult(code=command.returncode, text=text)
 
 
 def dump(daemon: processes.Process, service: str) -> Any:
@@ -279,7 +281,7 @@
     processes.wait_for(settled)
 
 
-def assert_apart(engine: str) -> None:
+def assert_no_overlap(engine: str) -> None:
     """Checks that an engine never held two orders at the same time."""
     held = sorted(read_orders(engine), key=lambda each: each["from_s"])
     for first, second in itertools.pairwise(held):
--- a/packages/bulrushgrade_daemon/tests/fakes.py
+++ b/packages/bulrushgrade_daemon/tests/fakes.py
@@ -20,7 +20,7 @@
     return reactor, timers, broken
 
 
-class Lines:
+class EventRecorder:
     """Keeps the events of a decision log."""
 
     def __init__(self):
--- a/packages/bulrushgrade_daemon/tests/gossipscene.py
+++ b/packages/bulrushgrade_daemon/tests/gossipscene.py
@@ -57,7 +57,7 @@
         self.able = True
         self.changes = []
         self.others = []
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.link = peerlink.PeerLink(
             reactor=None,
             timers=timers,
--- a/packages/bulrushgrade_daemon/tests/test_choosing.py
+++ b/packages/bulrushgrade_daemon/tests/test_choosing.py
@@ -93,7 +93,7 @@
             work=work,
             index=None,
             settle_s=2.0,
-            log=fakes.Lines().make(),
+            log=fakes.EventRecorder().make(),
             rng=random.Random(1),
         )
 
--- a/packages/bulrushgrade_daemon/tests/test_crashsharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashsharing.py
@@ -66,7 +66,7 @@
         self.clock, timers, self.broken = fakes.make_timers()
         self.topic = topic or Topic()
         self.ledger = crashledger.CrashLedger()
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.sharing = crashsharing.CrashSharing(
             timers=timers,
             ledger=self.ledger,
--- a/packages/bulrushgrade_daemon/tests/test_crashwatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashwatch.py
@@ -51,7 +51,7 @@
         self.checked: list[str] = []
         self.crashes: list[crashwatch.Crash] = []
         self.held: defer.Deferred | None = None
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.watch = crashwatch.CrashWatch(
             timers=timers,
             check=self._check,
--- a/packages/bulrushgrade_daemon/tests/test_failures_documents.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_documents.py
@@ -19,23 +19,23 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def cluster(tmp_path):
     with processes.running() as started:
-        yield control.World(started=started, directory=tmp_path)
+        yield control.Cluster(started=started, directory=tmp_path)
 
 
-def _start(world, count):
-    engine = world.started.standin("engine", "--speed", "4")
-    daemons = [world.start_daemon() for _ in range(count)]
-    world.list_hosts(daemons, [engine.address])
+def _start(cluster, count):
+    engine = cluster.started.standin("engine", "--speed", "4")
+    daemons = [cluster.start_daemon() for _ in range(count)]
+    cluster.list_hosts(daemons, [engine.address])
     for daemon in daemons:
         scene.wait_ready(daemon, engines=1)
     return engine.address, daemons
 
 
-def _read_text(world, service):
+def _read_text(cluster, service):
     """Returns the text of the first publish of a service."""
-    for item in world.read(publication.STREAM):
+    for item in cluster.read(publication.STREAM):
         found = publication.parse_message(item["body"].encode()).unwrap()
         if found.service == service:
             return found.text
@@ -68,8 +68,8 @@
     return str(file)
 
 
-def _read_history(world, service):
-    command = world.start_command("history", service, "--json")
+def _read_history(cluster, service):
+    command = cluster.start_command("history", service, "--json")
     return control.finish(command, _COMMAND_LIMIT_S).json["verdicts"]
 
 
@@ -80,22 +80,22 @@
         scene.assert_whole(answers, 5)
 
 
-def test_in_force_on_every_host_within_seconds(world):
+def test_in_force_on_every_host_within_seconds(cluster):
     # A team publishes, and expects every host to go by it a few seconds
     # later, also while hosts come and go.
-    engine, daemons = _start(world, 3)
-    text = _read_text(world, "assistant")
+    engine, daemons = _start(cluster, 3)
+    text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
     taken = []
     for number in range(30):
         if number == 10:
             daemons.pop().send(signal.SIGKILL)
         if number == 20:
-            daemons.append(world.start_daemon())
-            world.list_hosts(daemons, [engine])
+            daemons.append(cluster.start_daemon())
+            cluster.list_hosts(daemons, [engine])
             scene.wait_ready(daemons[-1])
         start_s = time.monotonic()
-        base = world.publish("assistant", _vary(text, 30 + number), base=base)
+        base = cluster.publish("assistant", _vary(text, 30 + number), base=base)
         _wait_revision(daemons, "assistant", base)
         taken.append(time.monotonic() - start_s)
     taken.sort()
@@ -103,17 +103,17 @@
     assert taken[-1] < _IN_FORCE_LIMIT_S
 
 
-def test_race_of_publishers(world, tmp_path):
+def test_race_of_publishers(cluster, tmp_path):
     # Four operators of one team edit the same revision, and one of another
     # team publishes a document under that service's name. One wins, the
     # others are told what beat them, and all hosts agree.
-    _, daemons = _start(world, 2)
-    text = _read_text(world, "assistant")
+    _, daemons = _start(cluster, 2)
+    text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
     stolen = _vary(text, 39).replace("team = operators", "team = strangers")
     texts = [_vary(text, 31 + number) for number in range(4)]
     commands = [
-        world.start_command(
+        cluster.start_command(
             "publish",
             _write(tmp_path, f"edit-{number}", each),
             "--base",
@@ -134,15 +134,15 @@
     _assert_serves(daemons, "race")
 
 
-def test_race_on_the_log_itself(world):
+def test_race_on_the_log_itself(cluster):
     # Two operators' records for one revision stand on the log one after the
     # other: each had looked before the other wrote, so no check of a command
     # line could see it. The second must not undo the first one's change.
-    _, daemons = _start(world, 2)
-    text = _read_text(world, "assistant")
+    _, daemons = _start(cluster, 2)
+    text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
     first, second = (
-        world.publish("assistant", _vary(text, seconds), base=base)
+        cluster.publish("assistant", _vary(text, seconds), base=base)
         for seconds in (41, 42)
     )
     _wait_revision(daemons, "assistant", first)
@@ -155,27 +155,27 @@
         assert _revision(daemon, "assistant") == first
 
 
-def test_bad_and_greedy_documents_harm_nobody(world):
+def test_bad_and_greedy_documents_harm_nobody(cluster):
     # A new team publishes what can't be read, what is far too long, and then
     # a share that the fleet can't honour beside the one already promised.
     # The others' documents stay in force, and their callers notice nothing.
-    _, daemons = _start(world, 2)
-    fleet = _read_text(world, document.FLEET)
+    _, daemons = _start(cluster, 2)
+    fleet = _read_text(cluster, document.FLEET)
     fleet += "\n[team readers]\nservices = browser\n"
     base = _revision(daemons[0], document.FLEET)
     _wait_revision(
         daemons,
         document.FLEET,
-        world.publish(document.FLEET, fleet, base=base),
+        cluster.publish(document.FLEET, fleet, base=base),
     )
     before = control.dump(daemons[0], "documents")["accepted"]
-    greedy = _read_text(world, "assistant")
+    greedy = _read_text(cluster, "assistant")
     greedy = greedy.replace("= assistant", "= browser")
     greedy = greedy.replace("= operators", "= readers")
     for text in ("[document", "x" * 200_000, greedy):
-        world.publish("browser", text, team="readers")
-    world.append(publication.STREAM, b"\x7b nonsense")
-    end = world.append(publication.STREAM, b'{"kind": "Publish", "data": 1}')
+        cluster.publish("browser", text, team="readers")
+    cluster.append(publication.STREAM, b"\x7b nonsense")
+    end = cluster.append(publication.STREAM, b'{"kind": "Publish", "data": 1}')
     for daemon in daemons:
         processes.wait_for(
             lambda d=daemon: (
@@ -183,48 +183,48 @@
             )
         )
         assert control.dump(daemon, "documents")["accepted"] == before
-    codes = [each["code"] for each in _read_history(world, "browser")]
+    codes = [each["code"] for each in _read_history(cluster, "browser")]
     assert codes == ["bad_document", "bad_document", "shares_do_not_fit"]
     _assert_serves(daemons, "greedy")
     # What is right goes through behind all that.
     modest = greedy.replace("fraction = 0.9", "fraction = 0.1")
-    good = world.publish("browser", modest, team="readers")
+    good = cluster.publish("browser", modest, team="readers")
     _wait_revision(daemons, "browser", good)
 
 
-def _start_lost_publish(world, tmp_path, text):
+def _start_lost_publish(cluster, tmp_path, text):
     """Publishes over a link that goes silent once the log has the record."""
-    link = world.started.standin("link", world.log)
+    link = cluster.started.standin("link", cluster.log)
     scene.fault(link.ready["admin"], delay_s=0.4)
-    end = len(world.read(publication.STREAM))
+    end = len(cluster.read(publication.STREAM))
     file = _write(tmp_path, "lost", text)
-    command = world.start_command("publish", file, "--json", log=link.address)
-    processes.wait_for(lambda: len(world.read(publication.STREAM)) > end)
+    command = cluster.start_command("publish", file, "--json", log=link.address)
+    processes.wait_for(lambda: len(cluster.read(publication.STREAM)) > end)
     scene.fault(link.ready["admin"], silent=True)
     return command, file
 
 
-def test_lost_answer_and_trimmed_log(world, tmp_path):
+def test_lost_answer_and_trimmed_log(cluster, tmp_path):
     # An operator's network fails while the log takes the document. The
     # command can't know, and says so with 3; the history tells, and to
     # publish again does no harm. Meanwhile the log has trimmed all that the
     # documents were accepted by, and every host is restarted: from the
     # checkpoint that one of them wrote they come back with what was in force.
-    engine, daemons = _start(world, 2)
-    text = _vary(_read_text(world, "assistant"), 44)
-    command, file = _start_lost_publish(world, tmp_path, text)
+    engine, daemons = _start(cluster, 2)
+    text = _vary(_read_text(cluster, "assistant"), 44)
+    command, file = _start_lost_publish(cluster, tmp_path, text)
     noted = control.dump
     processes.wait_for(
         lambda: all(noted(d, "documents")["checkpoint"] for d in daemons)
     )
     lost = control.finish(command, _COMMAND_LIMIT_S)
     assert lost.code == 3, lost
-    last = _read_history(world, "assistant")[-1]
+    last = _read_history(cluster, "assistant")[-1]
     assert last["code"] == "accepted"
-    end = len(world.read(publication.STREAM))
-    again = world.start_command("publish", file, "--json")
+    end = len(cluster.read(publication.STREAM))
+    again = cluster.start_command("publish", file, "--json")
     assert control.finish(again, _COMMAND_LIMIT_S).code == 0
-    assert len(world.read(publication.STREAM)) == end
+    assert len(cluster.read(publication.STREAM)) == end
     before = noted(daemons[0], "documents")
     assert before["accepted"]["assistant"]["revision"] == last["offset"]
     for daemon in daemons:
@@ -233,9 +233,9 @@
         "stream": publication.STREAM,
         "offset": before["checkpoint"]["first_offset"],
     }
-    assert processes.call("POST", world.log, "/trim", trim).code == 200
-    new = [world.start_daemon() for _ in range(2)]
-    world.list_hosts(new, [engine])
+    assert processes.call("POST", cluster.log, "/trim", trim).code == 200
+    new = [cluster.start_daemon() for _ in range(2)]
+    cluster.list_hosts(new, [engine])
     for daemon in new:
         scene.wait_ready(daemon, engines=1)
         after = noted(daemon, "documents")
@@ -243,5 +243,5 @@
         assert after["digest"] == before["digest"]
     _assert_serves(new, "trimmed")
     base = last["offset"]
-    later = world.publish("assistant", _vary(text, 45), base=base)
+    later = cluster.publish("assistant", _vary(text, 45), base=base)
     _wait_revision(new, "assistant", later)
--- a/packages/bulrushgrade_daemon/tests/test_failures_once.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_once.py
@@ -25,12 +25,12 @@
 class _Pair:
     """Two daemons and a plain service that takes its time."""
 
-    def __init__(self, *, world, count=2, work_s=_WORK_S):
-        self.world = world
-        service = world.started.standin("plain", "--work-s", str(work_s))
+    def __init__(self, *, cluster, count=2, work_s=_WORK_S):
+        self.cluster = cluster
+        service = cluster.started.standin("plain", "--work-s", str(work_s))
         self.service = service.address
-        self.daemons = [world.start_daemon() for _ in range(count)]
-        world.list_hosts(self.daemons, (), [self.service])
+        self.daemons = [cluster.start_daemon() for _ in range(count)]
+        cluster.list_hosts(self.daemons, (), [self.service])
         self.callers = [scene.wait_ready(d) for d in self.daemons]
         for daemon in self.daemons:
             processes.wait_for(lambda d=daemon: _is_caught_up(d))
@@ -63,7 +63,9 @@
         return scene.read_runs(self.service)
 
     def count_records(self):
-        return processes.call("GET", self.world.log, "/counts").json["records"]
+        return processes.call("GET", self.cluster.log, "/counts").json[
+            "records"
+        ]
 
 
 def _is_caught_up(daemon):
@@ -76,9 +78,9 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def cluster(tmp_path):
     with processes.running() as started:
-        yield control.World(started=started, directory=tmp_path)
+        yield control.Cluster(started=started, directory=tmp_path)
 
 
 def _assert_under_way(answer):
@@ -100,10 +102,10 @@
     return pair.post(number)
 
 
-def test_same_key_at_several_daemons_at_once(world):
+def test_same_key_at_several_daemons_at_once(cluster):
     # A client that lost patience, and a balancer that sends each try to
     # another host: the same booking reaches three daemons in one moment.
-    pair = _Pair(world=world, count=3)
+    pair = _Pair(cluster=cluster, count=3)
     asked = [pair.begin(number % 3) for number in range(12)]
     answers = [each.result() for each in asked]
     assert len(pair.runs) == 1
@@ -122,21 +124,21 @@
     assert len(pair.runs) == 1
 
 
-def test_asked_again_before_the_outcome_is_read(world):
+def test_asked_again_before_the_outcome_is_read(cluster):
     # A client gets its answer and asks another host for it in the same
     # moment. That host has not read the outcome, as the log has gone silent,
     # and still takes the key for running. It says so and when to come back;
     # once the log is back it gives the first answer.
-    pair = _Pair(world=world)
+    pair = _Pair(cluster=cluster)
     asked = pair.begin(0)
     processes.wait_for(lambda: len(pair.runs) == 1)
-    scene.fault(world.log, silent=True)
+    scene.fault(cluster.log, silent=True)
     first = asked.result()
     assert first.code == 200
     early = pair.post(1)
     _assert_under_way(early)
     assert early.json["error"]["code"] == "running"
-    scene.fault(world.log)
+    scene.fault(cluster.log)
     processes.wait_for(lambda: pair.post(1).code == 200)
     again = pair.post(1)
     assert again.body == first.body
@@ -144,42 +146,42 @@
     assert len(pair.runs) == 1
 
 
-def test_killed_before_the_claim_stands(world):
+def test_killed_before_the_claim_stands(cluster):
     # The log does not answer, so the claim never got there, and the host
     # dies. The retry through another host is the first that runs.
-    pair = _Pair(world=world)
-    scene.fault(world.log, silent=True)
+    pair = _Pair(cluster=cluster)
+    scene.fault(cluster.log, silent=True)
     lost = pair.begin(0)
     host = pair.daemons[0]
     processes.wait_for(lambda: _count_claimed(host) == 1)
     pair.kill(0)
     assert lost.result() is None
-    scene.fault(world.log)
+    scene.fault(cluster.log)
     assert pair.runs == []
     processes.wait_for(lambda: pair.post(1).code == 200)
     assert len(pair.runs) == 1
 
 
-def test_killed_after_the_claim(world):
+def test_killed_after_the_claim(cluster):
     # The claim stands, and the host dies before it has written anything to
     # the service. Nobody can know that, so nobody may run it for it.
-    pair = _Pair(world=world)
+    pair = _Pair(cluster=cluster)
     before = pair.count_records()
-    scene.fault(world.log, slow_s=_LATE_S)
+    scene.fault(cluster.log, slow_s=_LATE_S)
     lost = pair.begin(0)
     processes.wait_for(lambda: pair.count_records() > before)
     pair.kill(0)
     assert lost.result() is None
-    scene.fault(world.log)
+    scene.fault(cluster.log)
     processes.wait_for(lambda: pair.post(1).code == 409)
     _assert_under_way(pair.post(1))
     assert pair.runs == []
 
 
-def test_killed_after_the_write(world):
+def test_killed_after_the_write(cluster):
     # The service has begun to work on the booking when the host dies. The
     # retry must not book a second time.
-    pair = _Pair(world=world)
+    pair = _Pair(cluster=cluster)
     lost = pair.begin(0)
     processes.wait_for(lambda: pair.runs)
     pair.kill(0)
@@ -188,25 +190,25 @@
     assert len(pair.runs) == 1
 
 
-def test_killed_before_the_outcome_stands(world):
+def test_killed_before_the_outcome_stands(cluster):
     # The caller has its answer, and the host dies before the log knows of
     # it. Another host can't give that answer, but it must not book again.
-    pair = _Pair(world=world)
+    pair = _Pair(cluster=cluster)
     asked = pair.begin(0)
     processes.wait_for(lambda: pair.runs)
-    scene.fault(world.log, lose_requests=1000, stream="once.")
+    scene.fault(cluster.log, lose_requests=1000, stream="once.")
     assert asked.result().code == 200
     pair.kill(0)
-    scene.fault(world.log)
+    scene.fault(cluster.log)
     _assert_under_way(pair.post(1))
     assert len(pair.runs) == 1
 
 
-def test_claim_whose_answer_was_lost(world):
+def test_claim_whose_answer_was_lost(cluster):
     # The log took the claim and its answer is lost. The daemon reads its
     # claim back, runs it, and another host replays the answer.
-    pair = _Pair(world=world)
-    scene.fault(world.log, lose_answers=1, stream="once.")
+    pair = _Pair(cluster=cluster)
+    scene.fault(cluster.log, lose_answers=1, stream="once.")
     first = pair.post(0)
     assert first.code == 200, first.body
 
@@ -219,11 +221,11 @@
     assert len(pair.runs) == 1
 
 
-def test_log_away(world):
+def test_log_away(cluster):
     # Nobody can claim while the log is out. Callers are told at once that
     # nothing ran and when to come back; then the same key runs once.
-    pair = _Pair(world=world)
-    scene.fault(world.log, outage=True)
+    pair = _Pair(cluster=cluster)
+    scene.fault(cluster.log, outage=True)
     for number in range(4):
         start_s = time.monotonic()
         answer = pair.post(number % 2)
@@ -234,16 +236,16 @@
         assert took_s < 3.0
         print(f"\nrefused after {took_s:.3f} s without the log")
     assert pair.runs == []
-    scene.fault(world.log)
+    scene.fault(cluster.log)
     processes.wait_for(lambda: pair.post(0).code == 200)
     assert len(pair.runs) == 1
 
 
-def test_requests_without_a_key_run_at_most_once(world):
+def test_requests_without_a_key_run_at_most_once(cluster):
     # A service whose posts may not be repeated breaks the connection after
     # it has booked. Without a key there is nothing to look up later, so the
     # caller is told that nobody knows, and the daemon does not try again.
-    pair = _Pair(world=world)
+    pair = _Pair(cluster=cluster)
     scene.fault(pair.service, die_after=True)
     answer = processes.call(
         "POST",
@@ -256,9 +258,9 @@
     assert len(pair.runs) == 1
 
 
-def test_added_latency_of_a_claim(world):
+def test_added_latency_of_a_claim(cluster):
     # Bookings with a key wait for the log; callers pay that on each request.
-    pair = _Pair(world=world, work_s=0.0)
+    pair = _Pair(cluster=cluster, work_s=0.0)
 
     def measure(keyed):
         taken = []
--- a/packages/bulrushgrade_daemon/tests/test_failures_peers.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_peers.py
@@ -6,7 +6,7 @@
 import scene
 
 
-def _list_all(world, engine, daemons):
+def _list_all(cluster, engine, daemons):
     """Sets the host list to an engine and some daemons."""
     usual = {
         "zone": "metter-hall",
@@ -31,7 +31,7 @@
             **usual,
         }
     )
-    answer = processes.call("PUT", world.hosts, "/hosts", {"hosts": hosts})
+    answer = processes.call("PUT", cluster.hosts, "/hosts", {"hosts": hosts})
     assert answer.code == 200
 
 
@@ -45,15 +45,15 @@
     # accepted documents from but the daemons that still run, one of which
     # has been paused and answers nobody.
     with processes.running() as started:
-        world = scene.Scene(started=started, directory=tmp_path)
+        cluster = scene.Scene(started=started, directory=tmp_path)
         engine = started.standin("engine", "--speed", "4")
-        old = [world.start_daemon() for _ in range(2)]
-        _list_all(world, engine, old)
+        old = [cluster.start_daemon() for _ in range(2)]
+        _list_all(cluster, engine, old)
         for daemon in old:
             scene.wait_ready(daemon, engines=1)
-        scene.fault(world.log, outage=True)
+        scene.fault(cluster.log, outage=True)
         old[0].send(signal.SIGSTOP)
-        new = world.start_daemon()
+        new = cluster.start_daemon()
         callers = scene.wait_ready(new, engines=1)
         scene.assert_whole(
             scene.stream_many(callers, ["a", "b"], max_tokens=5), 5
@@ -69,10 +69,10 @@
     # An engine would look busy for good and be passed over. The daemon that
     # had told of its work there was killed before it could say otherwise.
     with processes.running() as started:
-        world = scene.Scene(started=started, directory=tmp_path)
+        cluster = scene.Scene(started=started, directory=tmp_path)
         engine = started.standin("engine", "--step-s", "0.1")
-        one, two = daemons = [world.start_daemon() for _ in range(2)]
-        _list_all(world, engine, daemons)
+        one, two = daemons = [cluster.start_daemon() for _ in range(2)]
+        _list_all(cluster, engine, daemons)
         for daemon in daemons:
             scene.wait_ready(daemon, engines=1)
 
--- a/packages/bulrushgrade_daemon/tests/test_failures_rolechange.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_rolechange.py
@@ -10,21 +10,21 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def cluster(tmp_path):
     with processes.running() as started:
-        yield control.World(started=started, directory=tmp_path)
+        yield control.Cluster(started=started, directory=tmp_path)
 
 
-def test_role_change_under_load_cuts_no_answer(world):
+def test_role_change_under_load_cuts_no_answer(cluster):
     # A holder dies after it announced a change of role; the next one gives
     # the order to an engine that is in the middle of answers, while two hosts
     # go on placing by what they last knew of it. A caller would see a cut
     # answer, or a refusal though two other engines serve.
     options = ("--change-s", "0.5", "--slots", "8")
-    engines = [world.started.standin("engine", *options) for _ in range(3)]
+    engines = [cluster.started.standin("engine", *options) for _ in range(3)]
     addresses = [engine.address for engine in engines]
-    daemons = [world.start_daemon() for _ in range(2)]
-    world.list_hosts(daemons, addresses)
+    daemons = [cluster.start_daemon() for _ in range(2)]
+    cluster.list_hosts(daemons, addresses)
     for daemon in daemons:
         scene.wait_ready(daemon, engines=3)
     holder = control.wait_holder(daemons)
@@ -34,8 +34,8 @@
     with load:
         load.wait_answers(48)
         term = control.read_group(holder)["term"]
-        order_id = world.intend(addresses[0], "decode", term)
+        order_id = cluster.append_intent(addresses[0], "decode", term)
         control.wait_settled(holder, addresses[0], "decode", order_id=order_id)
         load.wait_answers(48)
     scene.assert_whole(load.answers, _TOKENS)
-    control.assert_apart(addresses[0])
+    control.assert_no_overlap(addresses[0])
--- a/packages/bulrushgrade_daemon/tests/test_failures_together.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_together.py
@@ -16,16 +16,16 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def cluster(tmp_path):
     with processes.running() as started:
-        yield control.World(started=started, directory=tmp_path)
+        yield control.Cluster(started=started, directory=tmp_path)
 
 
-def _start(world, count, *options):
+def _start(cluster, count, *options):
     """Starts daemons and an engine; returns both once a holder acts."""
-    engine = world.started.standin("engine", *options)
-    daemons = [world.start_daemon() for _ in range(count)]
-    world.list_hosts(daemons, [engine.address])
+    engine = cluster.started.standin("engine", *options)
+    daemons = [cluster.start_daemon() for _ in range(count)]
+    cluster.list_hosts(daemons, [engine.address])
     holder = control.wait_holder(daemons)
     others = [d for d in daemons if d is not holder]
     for daemon in daemons:
@@ -40,41 +40,43 @@
     )
 
 
-def test_holder_frozen_while_the_log_is_away(world):
+def test_holder_frozen_while_the_log_is_away(cluster):
     # The log goes out in the middle of an order and the holder freezes. The
     # other can't take over either, and callers need the engine, which is
     # through with its change, for as long as nobody can put that down. The
     # log is back first, so the next one does, and ends the order; then the
     # first wakes, with a lease, an order and an answer all of the past.
-    engine, first, (second,) = _start(world, 2, "--overlap", "--change-s", "1")
+    engine, first, (second,) = _start(
+        cluster, 2, "--overlap", "--change-s", "1"
+    )
     term = control.read_group(first)["term"]
-    order_id = world.intend(engine, "mixed", term, adapters=_ADAPTERS)
+    order_id = cluster.append_intent(engine, "mixed", term, adapters=_ADAPTERS)
     processes.wait_for(lambda: control.read_orders(engine))
-    scene.fault(world.log, outage=True)
+    scene.fault(cluster.log, outage=True)
     first.send(signal.SIGSTOP)
     frozen_s = time.monotonic()
     control.sleep_until(frozen_s + 2 * control.TTL_S)
     assert not control.read_group(second)["acting"]
     _wait_served(second)
-    scene.fault(world.log)
+    scene.fault(cluster.log)
     control.wait_holder([second])
     control.wait_settled(second, engine, "mixed", order_id=order_id)
     first.send(signal.SIGCONT)
     processes.wait_for(lambda: not control.read_group(first)["unfinished"])
     assert control.find_holders([first, second]) == [second]
     assert {o["order_id"] for o in control.read_orders(engine)} == {order_id}
-    control.assert_apart(engine)
-    print(f"\n{_count_appends(world)}")
+    control.assert_no_overlap(engine)
+    print(f"\n{_count_appends(cluster)}")
 
 
-def test_daemon_killed_during_a_change_whose_engine_crashes(world):
+def test_daemon_killed_during_a_change_whose_engine_crashes(cluster):
     # An engine dies in the middle of a change, and so does the daemon that
     # ordered it. The engine comes back in its old role and has forgotten the
     # order; the next holder finds it on the log and gives it again.
-    engine, first, (second,) = _start(world, 2, "--change-s", "1")
+    engine, first, (second,) = _start(cluster, 2, "--change-s", "1")
     scene.fault(engine, crash_changes=1, down_s=0.5)
     term = control.read_group(first)["term"]
-    order_id = world.intend(engine, "mixed", term, adapters=_ADAPTERS)
+    order_id = cluster.append_intent(engine, "mixed", term, adapters=_ADAPTERS)
     processes.wait_for(lambda: control.read_orders(engine))
     first.send(signal.SIGKILL)
     control.wait_settled(second, engine, "mixed", order_id=order_id)
@@ -82,7 +84,7 @@
     assert [each["outcome"] for each in orders] == ["crashed", "done"]
     assert {each["order_id"] for each in orders} == {order_id}
     assert orders[1]["term"] > orders[0]["term"]
-    control.assert_apart(engine)
+    control.assert_no_overlap(engine)
     _wait_served(second)
 
 
@@ -97,7 +99,7 @@
     )
 
 
-def _start_race(world, tmp_path, name, base, text):
+def _start_race(cluster, tmp_path, name, base, text):
     """Two operators edit the same revision at the same time."""
     commands = []
     for number in range(2):
@@ -105,26 +107,26 @@
         seconds = f"whole_answer_s = {3 + number}{name}"
         file.write_text(re.sub(r"(?m)^whole_answer_s = 20$", seconds, text))
         commands.append(
-            world.start_command(
+            cluster.start_command(
                 "publish", str(file), "--base", str(base), "--json"
             )
         )
     return commands
 
 
-def test_rolling_restart_during_a_publish_race(world, tmp_path):
+def test_rolling_restart_during_a_publish_race(cluster, tmp_path):
     # Hosts are replaced one by one while operators race to publish. Each
     # race has one winner, no host goes back to what was replaced, and what
     # the new hosts start with is what all others have.
-    engine, holder, others = _start(world, 2)
+    engine, holder, others = _start(cluster, 2)
     daemons = [holder, *others]
-    body = world.read(publication.STREAM)[1]["body"]
+    body = cluster.read(publication.STREAM)[1]["body"]
     text = publication.parse_message(body.encode()).unwrap().text
     base = _read_revision(holder)
     for number in range(2):
-        commands = _start_race(world, tmp_path, str(number), base, text)
-        new = world.start_daemon()
-        world.list_hosts([*daemons, new], [engine])
+        commands = _start_race(cluster, tmp_path, str(number), base, text)
+        new = cluster.start_daemon()
+        cluster.list_hosts([*daemons, new], [engine])
         scene.wait_ready(new, engines=1)
         assert _read_revision(new) >= base
         old, daemons[number] = daemons[number], new
@@ -139,28 +141,28 @@
     control.wait_holder(daemons)
 
 
-def _count_appends(world):
+def _count_appends(cluster):
     """Counts the control stream's records by kind."""
     kinds: dict[str, int] = {}
-    for item in world.read(control.STREAM):
+    for item in cluster.read(control.STREAM):
         kind = item["body"].split('"')[3]
         kinds[kind] = kinds.get(kind, 0) + 1
     return kinds
 
 
-def test_appends_at_rest_and_in_failover(world):
+def test_appends_at_rest_and_in_failover(cluster):
     # The log takes a few hundred appends a second from all hosts together.
     # A group at rest costs its renewals, and a loss of the holder one claim
     # more and what its orders need, not a burst of every candidate.
-    _, first, (second,) = _start(world, 2)
+    _, first, (second,) = _start(cluster, 2)
     start_s = time.monotonic()
-    before = _count_appends(world)
+    before = _count_appends(cluster)
     control.sleep_until(start_s + 3.0)
-    rest = _count_appends(world)
+    rest = _count_appends(cluster)
     rate = (rest["Renew"] - before.get("Renew", 0)) / 3.0
     first.send(signal.SIGKILL)
     control.wait_holder([second])
-    after = _count_appends(world)
+    after = _count_appends(cluster)
     print(f"\nat rest {rate:.2f} renewals a second; {before} {rest} {after}")
     assert rate <= 3 / control.TTL_S + 0.5
     assert rest.keys() <= {"Claim", "Renew"}
--- a/packages/bulrushgrade_daemon/tests/test_follower.py
+++ b/packages/bulrushgrade_daemon/tests/test_follower.py
@@ -17,7 +17,7 @@
 
 def make(read_all, read_after, **changes):
     reactor, timers, broken = fakes.make_timers()
-    lines = fakes.Lines()
+    lines = fakes.EventRecorder()
     shared = sharedtopic.SharedTopic(
         topic="topic",
         own_name="h1/1",
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -107,7 +107,7 @@
         self.clock, timers, self.broken = fakes.make_timers()
         self.ledger = crashledger.CrashLedger()
         self.watch = Watch(self.ledger)
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.endpoints = [ONE, OTHER, make_registration("e3", zone="z3")]
         self.ends = list(ends)
         self.sent = []
--- a/packages/bulrushgrade_daemon/tests/test_group.py
+++ b/packages/bulrushgrade_daemon/tests/test_group.py
@@ -70,9 +70,9 @@
     # a change of role and died before the order, so nothing ends the drain.
     made, tracker, appended = _group([ADDRESS])
     made.tick(1.0)
-    made.tick(group.STRANDED_S)
+    made.tick(group.UNORDERED_DRAIN_TIMEOUT_S)
     assert tracker.proposed == []
-    made.tick(1.0 + group.STRANDED_S)
+    made.tick(1.0 + group.UNORDERED_DRAIN_TIMEOUT_S)
     assert tracker.proposed == [(ADDRESS, "decode")]
     assert len(appended) == 1
 
@@ -80,7 +80,7 @@
 def test_engine_that_the_platform_drains_is_left_alone():
     made, tracker, _ = _group([])
     made.tick(1.0)
-    made.tick(2.0 + group.STRANDED_S)
+    made.tick(2.0 + group.UNORDERED_DRAIN_TIMEOUT_S)
     assert tracker.proposed == []
 
 
@@ -92,4 +92,4 @@
     load = engine.EngineLoad(
         role="mixed", model="m", state="serving", order_id="o", term=7
     )
-    assert group.seen_of(load).number == 7
+    assert group.make_engine_report(load).number == 7
--- a/packages/bulrushgrade_daemon/tests/test_peers.py
+++ b/packages/bulrushgrade_daemon/tests/test_peers.py
@@ -147,7 +147,7 @@
 
     def setUp(self):
         self.patch(peers, "LOADS_PERIOD_S", 0.02)
-        self.patch(peers, "REPEAT_S", 0.1)
+        self.patch(peers, "WITHDRAWN_REPEAT_S", 0.1)
 
     async def make_node(self, **kwargs):
         node = Node(**kwargs)
--- a/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
+++ b/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
@@ -70,7 +70,7 @@
         self.must_read = False
         self.paused = False
         self.held = []
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.shared = sharedtopic.SharedTopic(
             topic="t",
             own_name=name,
--- a/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
+++ b/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
@@ -38,7 +38,7 @@
     def __init__(self, *, read=None, append=1, report=REPORT, leads=True):
         self.reactor, timers, self.broken = fakes.make_timers()
         self.timers = timers
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.read = fakes.Answers((0, ()) if read is None else read)
         self.append = fakes.Answers(append)
         self.report = fakes.Answers(report)
--- a/packages/bulrushgrade_daemon/tests/test_usagereporting.py
+++ b/packages/bulrushgrade_daemon/tests/test_usagereporting.py
@@ -63,7 +63,7 @@
                 for peer in list(self.daemons)
                 if peer != name
             ],
-            log=fakes.Lines().make(),
+            log=fakes.EventRecorder().make(),
             on_broken=pytest.fail,
             time_of_day=lambda: (
                 STARTED_S + self.reactor.seconds() + self.clock_steps[name]
