--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -28,10 +28,10 @@
 from bulrushgrade_daemon import task
 
 TICK_S = 0.1
-PLAN_S = 1.0
+PLAN_INTERVAL_S = 1.0
 # How long a stop waits for the release of its leases to be taken. Past it the
 # next holder waits for the lease's time, as after a crash.
-STOP_LIMIT_S = 2.0
+RELEASE_TIMEOUT_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
@@ -102,7 +102,7 @@
         self._groups: list[group_module.Group] = []
         self._tails: list[logclient.LogTail] = []
         self._subscriptions: list[Any] = []
-        self._acted: dict[str, bool] = {}
+        self._held_lease: dict[str, bool] = {}
         for name in settings.groups:
             self._add_group(name, rng)
 
@@ -118,7 +118,7 @@
         timers = self._parts.timers
         self._subscriptions = [
             timers.every(TICK_S, self._tick),
-            timers.every(PLAN_S, self._plan),
+            timers.every(PLAN_INTERVAL_S, self._plan),
         ]
 
     async def stop(self) -> None:
@@ -131,7 +131,7 @@
             if release is not None:
                 releases.append(self._parts.writer.append(release))
         if releases:
-            await self._wait(defer.DeferredList(releases))
+            await self._wait_for_releases(defer.DeferredList(releases))
         for tail in self._tails:
             tail.stop()
 
@@ -143,9 +143,9 @@
                 for group in self._groups:
                     group.observe(message.address, message.load, now)
         elif isinstance(message, PeerDemands):
-            self._take_demands(message.peer, message.demands, now)
+            self._observe_demands(message.peer, message.demands, now)
         elif isinstance(message, serviceindex.ServiceIndex):
-            self._take_weights(message)
+            self._apply_weights(message)
 
     def dump(self) -> dict[str, Any]:
         """Returns each group's state."""
@@ -162,7 +162,7 @@
             guard_s=settings.lease_guard_s,
             renew_every_s=settings.lease_ttl_s / 3,
         )
-        held = lease.Lease(
+        own_lease = lease.Lease(
             group=name,
             holder=self._holder,
             rank=None,
@@ -170,7 +170,7 @@
             new_id=_new_id,
         )
         tracker = order.OrderTracker(
-            authority=held,
+            authority=own_lease,
             times=order.OrderTimes(
                 pause_allowance_s=settings.pause_allowance_s
             ),
@@ -189,15 +189,15 @@
         )
         self._groups.append(group)
 
-        def take(page: record.Page) -> None:
+        def handle_page(page: record.Page) -> None:
             tracker.apply_page(page, self._parts.timers.now)
 
         self._tails.append(
             logclient.LogTail(
                 log=self._parts.log,
                 timers=self._parts.timers,
-                stream=held.stream,
-                on_page=take,
+                stream=own_lease.stream,
+                on_page=handle_page,
                 on_broken=self._parts.on_broken,
                 rng=rng,
             )
@@ -208,19 +208,21 @@
         for group in self._groups:
             self._update_engines(group)
             group.lease.set_rank(self._rank(group))
-            acting = group.lease.holds_lease(now)
+            holding = group.lease.holds_lease(now)
             group.tick(now)
-            self._log_change(group, acting)
+            self._log_lease_change(group, holding)
 
-    def _log_change(self, group: group_module.Group, acting: bool) -> None:
-        if acting != self._acted.get(group.name, False):
-            self._acted[group.name] = acting
-            word = "held" if acting else "lost"
+    def _log_lease_change(
+        self, group: group_module.Group, holding: bool
+    ) -> None:
+        if holding != self._held_lease.get(group.name, False):
+            self._held_lease[group.name] = holding
+            word = "held" if holding else "lost"
             logging.info("authority over %s is %s", group.name, word)
 
     def _plan(self) -> None:
         now = self._parts.timers.now
-        self._take_demands(
+        self._observe_demands(
             self._parts.host_mesh.listed_address,
             tuple(self._parts.demands()),
             now,
@@ -229,7 +231,7 @@
             group.plan(now)
 
     def _update_engines(self, group: group_module.Group) -> None:
-        hosts = self._hosts_of(group)
+        hosts = self._find_hosts(group)
         endpoints = self._parts.placement.endpoints
         group.set_engines(
             {
@@ -241,21 +243,21 @@
             live=frozenset(h.address for h in membership.select_live(hosts)),
         )
 
-    def _hosts_of(
+    def _find_hosts(
         self, group: group_module.Group
     ) -> tuple[membership.Host, ...]:
-        service, place = group_module.parse_group(group.name)
+        service, location = group_module.parse_group(group.name)
         return tuple(
             host
             for host in self._parts.host_mesh.hosts
             if host.kind is membership.Kind.ENGINE
             and host.service == service
-            and place in (host.zone, host.region)
+            and location in (host.zone, host.region)
         )
 
     def _rank(self, group: group_module.Group) -> int | None:
         """Returns this host's place among the group's candidates."""
-        hosts = self._hosts_of(group)
+        hosts = self._find_hosts(group)
         if not hosts:
             return None
         daemons = [
@@ -263,26 +265,26 @@
             for host in self._parts.host_mesh.hosts
             if host.kind is membership.Kind.ENTRY
         ]
-        place = (hosts[0].region, hosts[0].zone)
-        candidates = subset.choose_candidates(group.name, place, daemons)
+        location = (hosts[0].region, hosts[0].zone)
+        candidates = subset.choose_candidates(group.name, location, daemons)
         own = self._parts.host_mesh.listed_address
         return candidates.index(own) if own in candidates else None
 
-    def _take_demands(
+    def _observe_demands(
         self, host: str, demands: tuple[work.Demand, ...], now: float
     ) -> None:
         endpoints = self._parts.placement.endpoints
         for group in self._groups:
             models = {
                 endpoints[h.address].model
-                for h in self._hosts_of(group)
+                for h in self._find_hosts(group)
                 if h.address in endpoints
             }
             for demand in demands:
                 if demand.model in models:
                     group.observe_demand(host, demand, now)
 
-    def _take_weights(self, service_index: serviceindex.ServiceIndex) -> None:
+    def _apply_weights(self, service_index: serviceindex.ServiceIndex) -> None:
         for group in self._groups:
             service, _ = group_module.parse_group(group.name)
             document = service_index.services.get(service)
@@ -301,13 +303,13 @@
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
     ) -> None:
-        def stored(result: logwriter.Stored) -> None:
+        def handle_result(result: logwriter.Stored) -> None:
             if isinstance(result, Failure) and isinstance(
                 result.failure(), logclient.NotStored
             ):
                 failed(append.record_id)
 
-        self._parts.writer.append(append).addCallback(stored)
+        self._parts.writer.append(append).addCallback(handle_result)
 
     def _send_order(
         self, group: group_module.Group, wanted: engineorder.Order
@@ -333,7 +335,7 @@
             on_broken=self._parts.on_broken,
         )
 
-    async def _wait(self, releases: defer.Deferred) -> None:
+    async def _wait_for_releases(self, releases: defer.Deferred) -> None:
         done: defer.Deferred = defer.Deferred()
 
         def finish(_: Any = None) -> None:
@@ -341,7 +343,7 @@
                 done.callback(None)
 
         releases.addBoth(finish)
-        self._parts.timers.after(STOP_LIMIT_S, finish)
+        self._parts.timers.after(RELEASE_TIMEOUT_S, finish)
         await done
 
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
@@ -23,16 +23,16 @@
 # Equal on all hosts and releases for as long as a key lives, see
 # `oncelog.shard_of`. Today's sizes need one; with more, a host can leave
 # some unread once the target's size asks for that.
-SHARDS = 4
+SHARD_COUNT = 4
 TICK_S = 0.25
 # The log is away: tries to reach it again take about this long.
-LOG_AWAY_RETRY_S = 2.0
+LOG_UNAVAILABLE_RETRY_S = 2.0
 # An append whose answer was lost shows within this time on a log that is up;
 # on one that is away the caller is told so instead of being held.
-READ_BACK_S = 1.0
+READ_BACK_TIMEOUT_S = 1.0
 # How long a stop waits for outcomes to reach the log. Past it, duplicates of
 # those keys are told that the outcome is unknown, which is true.
-STOP_LIMIT_S = 5.0
+STOP_TIMEOUT_S = 5.0
 REPLAY_HEADER = "X-Idempotent-Replay"
 
 Outcome = plain.PlainAnswer | refusal.Refusal
@@ -96,7 +96,7 @@
         )
         self._shards = [
             self._make_shard(number, runner, rng, on_broken)
-            for number in range(SHARDS)
+            for number in range(SHARD_COUNT)
         ]
         self._tick: Any = None
 
@@ -109,12 +109,12 @@
         """Begins to follow the shards."""
         for shard in self._shards:
             shard.tail.start()
-        self._tick = self._timers.every(TICK_S, self._repeat_outcomes)
+        self._tick = self._timers.every(TICK_S, self._append_due)
 
     async def stop(self) -> None:
         """Waits for outcomes to reach the log, then follows no more."""
-        give_up = self._timers.now + STOP_LIMIT_S
-        while self._unsettled() and self._timers.now < give_up:
+        give_up_at = self._timers.now + STOP_TIMEOUT_S
+        while self._count_pending() and self._timers.now < give_up_at:
             await self._timers.sleep(TICK_S)
         self._tick.cancel()
         for shard in self._shards:
@@ -151,18 +151,18 @@
         digest = oncelog.digest_of(
             method=job.method, path=job.path, body=job.body
         )
-        shard = self._shards[oncelog.shard_of(key, shards=SHARDS)]
+        shard = self._shards[oncelog.shard_of(key, shards=SHARD_COUNT)]
         now = self._timers.now
         known = shard.view.decide(key=key, digest=digest, now=now)
         if not isinstance(known, oncedecision.Free):
-            return self._tell(known)
+            return self._respond(known)
         # With the log away nobody can claim; the caller is told at once that
         # nothing ran, instead of being held until the claim gives up.
         if not self._log.reachable:
-            return self._log_away("the log does not answer")
+            return self._refuse_unclaimable("the log does not answer")
         claimed = shard.view.claim(key=key, digest=digest, now=now)
         if isinstance(claimed, Failure):
-            return self._tell(claimed.failure())
+            return self._respond(claimed.failure())
         return await self._run_claim(shard, job, attempt, claimed.unwrap())
 
     async def _run_claim(
@@ -180,32 +180,36 @@
         )
         if not_stored:
             view.append_failed(claim_id)
-            return self._log_away(stored.failure().reason)
-        give_up = job.work.deadline
+            return self._refuse_unclaimable(stored.failure().reason)
+        give_up_at = job.work.deadline
         if isinstance(stored, Failure):
-            give_up = min(give_up, self._timers.now + READ_BACK_S)
-        decision = await self._settle(shard, job, claim_id, give_up)
+            give_up_at = min(give_up_at, self._timers.now + READ_BACK_TIMEOUT_S)
+        decision = await self._wait_for_decision(
+            shard, job, claim_id, give_up_at
+        )
         if isinstance(decision, oncedecision.Pending | oncedecision.Late):
             # The claim may yet turn up on the log, but it can't start any
             # more, so "not run" is and stays true.
             self._append(view.abandon(claim_id, self._timers.now))
-            return self._log_away("the claim could not be read back in time")
+            return self._refuse_unclaimable(
+                "the claim could not be read back in time"
+            )
         if not isinstance(decision, oncedecision.Run):
             self._append(view.abandon(claim_id, self._timers.now))
-            return self._tell(decision)
+            return self._respond(decision)
         job.may_write = lambda: view.start(claim_id, self._timers.now)
         job.turned_away = lambda: view.mark_not_started(claim_id)
         job.may_retry = lambda: view.may_start(claim_id, self._timers.now)
         outcome = await attempt(job)
-        self._end(view, claim_id, outcome)
+        self._append_outcome(view, claim_id, outcome)
         return outcome
 
-    async def _settle(
+    async def _wait_for_decision(
         self,
         shard: _Shard,
         job: plainrelay.PlainJob,
         claim_id: str,
-        give_up: float,
+        give_up_at: float,
     ) -> oncedecision.Decision:
         """Waits until the log has decided on a claim, or it is too late."""
         key = oncelog.scoped_key(
@@ -221,11 +225,11 @@
             )
             if not isinstance(decision, oncedecision.Pending):
                 return decision
-            if now >= give_up or job.gone:
+            if now >= give_up_at or job.gone:
                 return decision
             await shard.wait()
 
-    def _end(
+    def _append_outcome(
         self, view: once.OnceShard, claim_id: str, outcome: Outcome
     ) -> None:
         now = self._timers.now
@@ -243,7 +247,7 @@
             ended = view.finish(claim_id, answer=None, known=False, now=now)
         self._append(ended)
 
-    def _tell(self, decision: oncedecision.Decision) -> Outcome:
+    def _respond(self, decision: oncedecision.Decision) -> Outcome:
         if isinstance(decision, oncedecision.Duplicate):
             self._counts["duplicate"] += 1
             return _replay(decision)
@@ -270,15 +274,15 @@
                 status=422,
                 code="key_conflict",
             )
-        return self._log_away("this host has not read all claims yet")
+        return self._refuse_unclaimable("this host has not read all claims yet")
 
-    def _log_away(self, reason: str) -> refusal.Refusal:
+    def _refuse_unclaimable(self, reason: str) -> refusal.Refusal:
         self._counts["log_away"] += 1
         return refusal.Refusal(
             status=503,
             code="log_away",
             message=f"the request can't be claimed now: {reason}",
-            retry_after_s=LOG_AWAY_RETRY_S,
+            retry_after_s=LOG_UNAVAILABLE_RETRY_S,
         )
 
     def _make_shard(
@@ -296,7 +300,7 @@
         )
         shard = _Shard(view=view)
 
-        def take(page: record.Page) -> None:
+        def handle_page(page: record.Page) -> None:
             view.apply_page(page, self._timers.now)
             shard.wake()
 
@@ -304,13 +308,13 @@
             log=self._log,
             timers=self._timers,
             stream=view.stream,
-            on_page=take,
+            on_page=handle_page,
             on_broken=on_broken,
             rng=rng,
         )
         return shard
 
-    def _repeat_outcomes(self) -> None:
+    def _append_due(self) -> None:
         for shard in self._shards:
             for append in shard.view.due(self._timers.now):
                 self._append(append)
@@ -320,7 +324,7 @@
         if append is not None:
             self._writer.append(append)
 
-    def _unsettled(self) -> int:
+    def _count_pending(self) -> int:
         return sum(shard.view.pending_claims for shard in self._shards)
 
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
@@ -72,8 +72,8 @@
         self._digest = ""
         self._changed_at: float | None = None
         self._earliest_offset = 0
-        self._hosts: tuple[str, ...] = ()
-        self._own = ""
+        self._live_addresses: tuple[str, ...] = ()
+        self._own_address = ""
         self._schedule: checkpoint.Schedule | None = None
         self._appending = False
         self._on_broken = on_broken
@@ -85,7 +85,7 @@
             log=log,
             timers=timers,
             stream=publication.STREAM,
-            on_page=self._take_page,
+            on_page=self._apply_page,
             on_broken=on_broken,
             rng=rng,
         )
@@ -123,7 +123,9 @@
     async def start(self) -> None:
         """Begins to follow the stream."""
         self._tail.start()
-        self._tick = self._timers.every(CHECKPOINT_TICK_S, self._keep)
+        self._tick = self._timers.every(
+            CHECKPOINT_TICK_S, self._append_checkpoint_if_due
+        )
 
     async def stop(self) -> None:
         """Follows it no more."""
@@ -135,7 +137,7 @@
         if isinstance(message, publication.Snapshot):
             self.restore(message)
         elif isinstance(message, LiveDaemons):
-            self._take_daemons(message)
+            self._update_daemons(message)
 
     def restore(self, snapshot: publication.Snapshot) -> None:
         """Takes over a peer's state where it is newer."""
@@ -143,7 +145,7 @@
         self._registry.restore_snapshot(snapshot)
         if self._registry.next_offset != before:
             self._tail.seek(self._registry.read_offset)
-            self._refresh()
+            self._refresh_service_index()
 
     def dump(self) -> dict[str, Any]:
         """Returns the accepted revisions and how far the stream is read."""
@@ -174,7 +176,7 @@
             "next_offset": last.snapshot.next_offset,
         }
 
-    def _take_page(self, page: record.Page) -> None:
+    def _apply_page(self, page: record.Page) -> None:
         # A checkpoint read by one who had read all before it has just been
         # written; others may be old.
         fresh = self._was_caught_up
@@ -193,12 +195,12 @@
             now = self._timers.now
             self._schedule.observe_checkpoint(last, now=now, fresh=fresh)
         self._tail.seek(self._registry.read_offset)
-        self._refresh()
+        self._refresh_service_index()
 
-    def _take_daemons(self, message: LiveDaemons) -> None:
-        self._hosts = message.live
-        if self._schedule is None or self._own != message.own_address:
-            self._own = message.own_address
+    def _update_daemons(self, message: LiveDaemons) -> None:
+        self._live_addresses = message.live
+        if self._schedule is None or self._own_address != message.own_address:
+            self._own_address = message.own_address
             self._schedule = checkpoint.Schedule(
                 address=message.own_address,
                 retention_s=RETENTION_S,
@@ -210,7 +212,7 @@
                     last, now=self._timers.now, fresh=False
                 )
 
-    def _keep(self) -> None:
+    def _append_checkpoint_if_due(self) -> None:
         """Appends a checkpoint where it is this daemon's turn.
 
         Without one, the documents would be gone with the log's oldest
@@ -227,7 +229,7 @@
         now = self._timers.now
         reason = self._schedule.find_due_reason(
             now=now,
-            hosts=self._hosts,
+            hosts=self._live_addresses,
             next_offset=self._registry.next_offset,
             earliest_offset=self._earliest_offset,
         )
@@ -262,7 +264,7 @@
         finally:
             self._appending = False
 
-    def _refresh(self) -> None:
+    def _refresh_service_index(self) -> None:
         if self._service_index is None and (
             self._registry.fleet is None
             or isinstance(self._registry.readiness(self._end_offset), Failure)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
@@ -30,8 +30,8 @@
 
 def parse_group(name: str) -> tuple[str, str]:
     """Returns the service and the zone or region in a group's name."""
-    service, _, place = name.partition(".")
-    return service, place
+    service, _, location = name.partition(".")
+    return service, location
 
 
 def make_engine_report(load: engine.EngineLoad) -> engineorder.EngineReport:
@@ -88,10 +88,10 @@
         self._change: rolechange.RoleChange | None = None
         self._engines: dict[str, work.Endpoint] = {}
         self._loads: dict[str, engine.EngineLoad] = {}
-        self._seen_at = 0.0
-        self._live: frozenset[str] = frozenset()
-        self._stranded_since: dict[str, float] = {}
-        self._was_acting = False
+        self._reported_at = 0.0
+        self._live_engines: frozenset[str] = frozenset()
+        self._draining_since: dict[str, float] = {}
+        self._had_lease = False
         self._counts = dict.fromkeys(
             ("orders_sent", "role_changes", "terms"), 0
         )
@@ -143,7 +143,7 @@
             fencing: Whether each refuses orders with old numbers.
             live: Those that the list calls live.
         """
-        self._live = live
+        self._live_engines = live
         for address in self._engines.keys() - engines.keys():
             self.order_tracker.remove_engine(address)
             self._loads.pop(address, None)
@@ -158,7 +158,7 @@
         if address not in self._engines:
             return
         self._loads[address] = load
-        self._seen_at = now
+        self._reported_at = now
         self.order_tracker.observe(address, make_engine_report(load), now)
         if self._change is not None and self._change.engine == address:
             self._change.observe_load(
@@ -184,9 +184,9 @@
         for each in self.order_tracker.sendable(now):
             self._counts["orders_sent"] += 1
             self._parts.send_order(self, each)
-        self._note_acting(now)
-        self._drive_change(now)
-        self._bring_back(now)
+        self._track_lease(now)
+        self._advance_change(now)
+        self._end_unordered_drains(now)
         self._hold_engines(now)
 
     def plan(self, now: float) -> None:
@@ -242,15 +242,15 @@
             "counts": dict(self._counts),
         }
 
-    def _note_acting(self, now: float) -> None:
-        acting = self.lease.holds_lease(now)
-        if acting and not self._was_acting:
+    def _track_lease(self, now: float) -> None:
+        holding = self.lease.holds_lease(now)
+        if holding and not self._had_lease:
             self._counts["terms"] += 1
-        if self._was_acting and not acting and self._change is not None:
+        if self._had_lease and not holding and self._change is not None:
             self._change.hand_over(now)
-        self._was_acting = acting
+        self._had_lease = holding
 
-    def _drive_change(self, now: float) -> None:
+    def _advance_change(self, now: float) -> None:
         change = self._change
         if change is None:
             return
@@ -279,7 +279,7 @@
         if change.over:
             self._change = None
 
-    def _bring_back(self, now: float) -> None:
+    def _end_unordered_drains(self, now: float) -> None:
         """Orders engines that refuse work for nothing to stay as they are.
 
         Failure guarded against: a holder asks an engine to drain and dies, or
@@ -287,18 +287,18 @@
         good, which shows as a group that is one engine short.
         """
         changing = None if self._change is None else self._change.engine
-        stranded = {
+        draining = {
             address
             for address in self.order_tracker.draining_without_order()
-            if address in self._live and address != changing
+            if address in self._live_engines and address != changing
         }
-        self._stranded_since = {
-            address: self._stranded_since.get(address, now)
-            for address in stranded
+        self._draining_since = {
+            address: self._draining_since.get(address, now)
+            for address in draining
         }
         if not self.lease.holds_lease(now):
             return
-        for address, since in self._stranded_since.items():
+        for address, since in self._draining_since.items():
             if now < since + UNORDERED_DRAIN_TIMEOUT_S:
                 continue
             load = self._loads[address]
@@ -320,11 +320,11 @@
 
     def _view(self) -> roleplan.GroupView:
         model = next(iter(self._engines.values())).model
-        read, generated = self._parts.capacity(model)
+        prefill_rate, decode_rate = self._parts.capacity(model)
         return roleplan.GroupView(
-            at=self._seen_at,
+            at=self._reported_at,
             endpoints=tuple(self._engines.values()),
             running={a: float(x.running) for a, x in self._loads.items()},
-            prefill_tokens_per_s=read,
-            decode_tokens_per_s=generated,
+            prefill_tokens_per_s=prefill_rate,
+            decode_tokens_per_s=decode_rate,
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -35,7 +35,7 @@
 
 INCARNATION_BYTES = 4
 # The services whose own counts are shown as metrics, and what they count.
-_COUNTED = {
+_COUNTER_HELP = {
     "callers": "Requests of callers.",
     "relay": "Model requests by how they went.",
     "plainrelay": "Requests for plain services by how they went.",
@@ -188,7 +188,7 @@
             relay=model_relay,
             plain=plain_relay,
             service_index=lambda: self._documents.service_index,
-            ready=self._not_ready,
+            ready=self._find_not_ready_reason,
             on_broken=self._kernel.fail,
         )
         self._front = self._add(
@@ -202,30 +202,30 @@
         return self._front
 
     def _make_meters(self) -> relay.Meters:
-        found = self._kernel.find("metrics")
+        metrics_service = self._kernel.find("metrics")
         return relay.Meters(
-            first_token=found.histogram(
+            first_token=metrics_service.histogram(
                 "first_token_seconds", "From arrival to the first token."
             ),
-            whole_answer=found.histogram(
+            whole_answer=metrics_service.histogram(
                 "whole_answer_seconds", "From arrival to the whole answer."
             ),
         )
 
     def _add_counts(self) -> None:
-        found = self._kernel.find("metrics")
-        for name, doc in _COUNTED.items():
+        metrics_service = self._kernel.find("metrics")
+        for name, doc in _COUNTER_HELP.items():
             service = self._kernel.find(name)
-            found.add_counts(
+            metrics_service.add_counts(
                 f"{name}_total", doc, lambda owner=service: owner.counts
             )
         callers_service = self._kernel.find("callers")
-        found.gauge(
+        metrics_service.gauge(
             "open_requests",
             "Requests that are open.",
             read=lambda: callers_service.open_requests,
         )
-        found.gauge(
+        metrics_service.gauge(
             "log_reachable",
             "1 while the log service answers.",
             read=lambda: int(self._log.reachable),
@@ -341,7 +341,7 @@
         self._placing.set_policies(service_index.policies())
         self._kernel.send("authority", service_index)
 
-    def _not_ready(self) -> str | None:
+    def _find_not_ready_reason(self) -> str | None:
         if self._documents.not_ready_reason is not None:
             return self._documents.not_ready_reason
         return None if self._hosts.known else "no host list has been read"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/hostlist.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/hostlist.py
@@ -81,7 +81,7 @@
             return
         self._reading = True
         read = defer.Deferred.fromCoroutine(self._read())
-        read.addErrback(self._failed)
+        read.addErrback(self._record_failure)
 
     async def _read(self) -> None:
         call = self._client.http.get(self._url).addCallback(treq.content)
@@ -92,15 +92,15 @@
             self._failures += 1
             return
         self._failures = 0
-        self._take(parsed.unwrap())
+        self._accept(parsed.unwrap())
 
-    def _failed(self, failure: Any) -> None:
+    def _record_failure(self, failure: Any) -> None:
         # The list being away changes nothing: the last one read stands, and
         # endpoints that are gone show by refused connections.
         self._reading = False
         self._failures += 1
 
-    def _take(self, hosts: membership.HostList) -> None:
+    def _accept(self, hosts: membership.HostList) -> None:
         before = self._members.version
         accepted = self._members.accept(hosts, now=self._timers.now)
         if isinstance(accepted, Success) and hosts.version != before:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/logclient.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/logclient.py
@@ -136,12 +136,12 @@
         try:
             status, raw = await self._post(stream, msgspec.json.encode(body))
         except Exception as error:
-            self._note(False, "append_failed")
+            self._record_result(False, "append_failed")
             if httpclient.was_not_sent(error):
                 return Failure(NotStored(reason=str(error)))
             return Failure(OutcomeUnknown(reason=type(error).__name__))
         if status == 429:
-            self._note(True, "append_failed")
+            self._record_result(True, "append_failed")
             return Failure(NotStored(reason="the log is over its rate"))
         return self._parse_offsets(status, raw, len(appends))
 
@@ -166,17 +166,17 @@
             f"?from={offset}&limit={limit}&wait_s={wait_s}"
         )
         try:
-            status, raw = await self._answer(
+            status, raw = await self._wait_for_response(
                 self._reads.http.get(url), wait_s + READ_GRACE_S
             )
         except Exception as error:
-            self._note(False, "read_failed")
+            self._record_result(False, "read_failed")
             return Failure(Unavailable(reason=type(error).__name__))
         if status != 200:
-            self._note(False, "read_failed")
+            self._record_result(False, "read_failed")
             return Failure(Unavailable(reason=f"status {status}"))
         page = parse_page(raw, offset)
-        self._note(isinstance(page, Success), "read_failed")
+        self._record_result(isinstance(page, Success), "read_failed")
         return page
 
     async def start(self) -> None:
@@ -198,17 +198,17 @@
         url = f"{self._base}/{stream}/records"
         headers = {"Content-Type": "application/json"}
         call = self._appends.http.post(url, data=body, headers=headers)
-        return await self._answer(call, APPEND_TIMEOUT_S)
+        return await self._wait_for_response(call, APPEND_TIMEOUT_S)
 
-    async def _answer(
+    async def _wait_for_response(
         self, call: defer.Deferred, timeout_s: float
     ) -> tuple[int, bytes]:
-        async def whole() -> tuple[int, bytes]:
+        async def read_response() -> tuple[int, bytes]:
             response = await call
             raw = await treq.content(response)
             return response.code, raw
 
-        answer = defer.Deferred.fromCoroutine(whole())
+        answer = defer.Deferred.fromCoroutine(read_response())
         return await answer.addTimeout(timeout_s, self._reactor)
 
     def _parse_offsets(
@@ -222,13 +222,13 @@
         except (msgspec.MsgspecError, UnicodeDecodeError):
             offsets = []
         if status != 200 or len(offsets) != count:
-            self._note(False, "append_failed")
+            self._record_result(False, "append_failed")
             return Failure(OutcomeUnknown(reason=f"status {status}"))
-        self._note(True, None)
+        self._record_result(True, None)
         self._counts["appended"] += count
         return Success(tuple(offsets))
 
-    def _note(self, reachable: bool, counter: str | None) -> None:
+    def _record_result(self, reachable: bool, counter: str | None) -> None:
         if reachable != self._reachable:
             logging.info("the log answers" if reachable else "the log is away")
         self._reachable = reachable
@@ -347,25 +347,27 @@
     async def _follow(self) -> None:
         while self._running:
             wait_s = READ_WAIT_S if self._caught_up else 0.0
-            asked = self._offset
-            page = await self._log.read(self._stream, asked, wait_s=wait_s)
+            requested_offset = self._offset
+            page = await self._log.read(
+                self._stream, requested_offset, wait_s=wait_s
+            )
             if not self._running:
                 return
-            if asked != self._offset:
+            if requested_offset != self._offset:
                 continue
             if isinstance(page, Failure):
                 self._failures += 1
                 await self._back_off()
                 continue
             self._failures = 0
-            self._take(page.unwrap())
-            if self._offset == asked and page.unwrap().records:
+            self._deliver_page(page.unwrap())
+            if self._offset == requested_offset and page.unwrap().records:
                 # The owner could not judge a record and stays before it;
                 # reading the same page again at once would spin.
                 self._failures += 1
                 await self._back_off()
 
-    def _take(self, page: record.Page) -> None:
+    def _deliver_page(self, page: record.Page) -> None:
         self._offset = page.next_offset
         self._caught_up = page.next_offset >= page.end_offset
         self._on_page(page)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
@@ -1,8 +1,8 @@
-"""Ties this host to endpoints and peers, by the host list.
+"""Selects the endpoints and peers of this host from the host list.
 
-Nothing is sent to all at the target's size: a host places work only on the
-endpoints that it is tied to, and hears loads only from hosts that share one
-of them. At today's size the ties come out as the full mesh.
+At the target size no state is broadcast to every host: a host places work
+only on the endpoints that it is connected to, and receives loads only from
+hosts that share one of them. At today's size the selection is a full mesh.
 """
 
 from collections.abc import Callable
@@ -45,7 +45,7 @@
         self._own_peer_address = own_peer_address
         self._subsets = subset.EndpointSubsets()
         self._hosts: tuple[membership.Host, ...] = ()
-        self._tied: frozenset[str] = frozenset()
+        self._connected: frozenset[str] = frozenset()
 
     @property
     def hosts(self) -> tuple[membership.Host, ...]:
@@ -70,29 +70,29 @@
     def receive(self, message: Any) -> None:
         """Takes lists of hosts."""
         if isinstance(message, membership.HostList):
-            self._take(message)
+            self._update(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the endpoints that this host is tied to."""
-        return {"own": self.listed_address, "tied": sorted(self._tied)}
+        """Returns the endpoints that this host is connected to."""
+        return {"own": self.listed_address, "tied": sorted(self._connected)}
 
-    def _take(self, message: membership.HostList) -> None:
+    def _update(self, message: membership.HostList) -> None:
         hosts = message.hosts
         peer = self._own_peer_address()
         if not any(host.peer == peer for host in hosts):
             # The list lags behind a host that has just started, or that the
             # list service has lost sight of. It serves what the balancer
             # sends all the same, so it needs ties of its own.
-            hosts = (*hosts, self._make_own())
+            hosts = (*hosts, self._make_own_host())
         self._hosts = hosts
         self._subsets.update(hosts)
-        self._tied = self._subsets.get_endpoints(self.listed_address)
-        tied = membership.HostList(
+        self._connected = self._subsets.get_endpoints(self.listed_address)
+        connected_list = membership.HostList(
             version=message.version,
-            hosts=tuple(h for h in hosts if h.address in self._tied),
+            hosts=tuple(h for h in hosts if h.address in self._connected),
         )
         for name in ("placing", "fleet"):
-            self._kernel.send(name, tied)
+            self._kernel.send(name, connected_list)
         live = tuple(
             host.address
             for host in membership.select_live(hosts)
@@ -107,7 +107,7 @@
         )
         self._kernel.send("peers", peermessages.SetPeers(peers=peers))
 
-    def _make_own(self) -> membership.Host:
+    def _make_own_host(self) -> membership.Host:
         return membership.Host(
             address=self._own_address(),
             kind=membership.Kind.ENTRY,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peermessages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peermessages.py
@@ -86,23 +86,25 @@
 
 
 def list_peers(
-    subsets: subset.EndpointSubsets, hosts: Iterable[membership.Host], own: str
+    subsets: subset.EndpointSubsets,
+    hosts: Iterable[membership.Host],
+    own_address: str,
 ) -> tuple[Peer, ...]:
     """Returns the peers of a daemon by the present subsets.
 
     Args:
         subsets: The subsets, updated with the same hosts.
         hosts: The listed hosts.
-        own: The address of this daemon as the list shows it.
+        own_address: The address of this daemon as the list shows it.
     """
     peer_addresses = {host.address: host.peer for host in hosts if host.peer}
-    if own not in peer_addresses:
+    if own_address not in peer_addresses:
         # The list lags: a daemon that has just started is not on it, but has
         # to ask somebody for the accepted documents.
-        chosen = subset.rank(own, peer_addresses.values(), PEERS_TO_ASK)
+        chosen = subset.rank(own_address, peer_addresses.values(), PEERS_TO_ASK)
         return tuple(Peer(address=a, shared=frozenset()) for a in chosen)
     return tuple(
         Peer(address=peer_addresses[address], shared=shared)
-        for address, shared in sorted(subsets.find_peers(own).items())
+        for address, shared in sorted(subsets.find_peers(own_address).items())
         if address in peer_addresses
     )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
@@ -29,10 +29,10 @@
 from bulrushgrade_daemon import peersocket
 from bulrushgrade_daemon import zmqreactor
 
-# How often loads are told. Placement counts a peer out that has been silent
+# How often loads are sent. Placement counts a peer out that has been silent
 # for 3 s, so that several rounds may be lost or left out before that.
 LOADS_PERIOD_S = 0.5
-# How often withdrawn endpoints are told again although nothing changed, so
+# How often withdrawn endpoints are sent again although nothing changed, so
 # that a peer that missed the change learns it within seconds.
 WITHDRAWN_REPEAT_S = 5.0
 # How often and how many peers a starting daemon asks for a snapshot until one
@@ -88,7 +88,7 @@
         self._loads_bytes_per_s = loads_bytes_per_s
         self._read_loads = read_loads
         self._read_demands = read_demands
-        self._told_demands: tuple[work.Demand, ...] = ()
+        self._sent_demands: tuple[work.Demand, ...] = ()
         self._listeners = listeners
         self._view = peerview.PeerView()
         self._rng = rng
@@ -99,12 +99,12 @@
         self._router: zmqreactor.Connection | None = None
         self._dealers: dict[str, zmqreactor.Connection] = {}
         self._shared: dict[str, frozenset[str]] = {}
-        self._told_idle: set[str] = set()
+        self._sent_idle: set[str] = set()
         self._withdrawn: frozenset[str] = frozenset()
-        self._asking = False
+        self._requesting_snapshot = False
         self._subscriptions: list[timer.Subscription] = []
         self._loads_allowance = loads_bytes_per_s * BURST_S
-        self._loads_at = timers.now
+        self._allowance_updated_at = timers.now
 
     @property
     def address(self) -> str:
@@ -135,7 +135,9 @@
         self._subscriptions = [
             self._timers.every(LOADS_PERIOD_S, self._share_loads),
             self._timers.every(WITHDRAWN_REPEAT_S, self._send_withdrawn),
-            self._timers.every(SNAPSHOT_REQUEST_PERIOD_S, self._ask),
+            self._timers.every(
+                SNAPSHOT_REQUEST_PERIOD_S, self._request_snapshot
+            ),
             self._timers.every(DEMANDS_PERIOD_S, self._share_demands),
         ]
 
@@ -161,8 +163,8 @@
         handlers: dict[type, Callable[[Any], None]] = {
             peermessages.SetPeers: self._set_peers,
             peermessages.ShareWithdrawn: self._share_withdrawn,
-            peermessages.AskSnapshot: self._start_asking,
-            peermessages.AnswerSnapshot: self._answer,
+            peermessages.AskSnapshot: self._start_snapshot_requests,
+            peermessages.AnswerSnapshot: self._answer_snapshot,
         }
         handler = handlers.get(type(message))
         if handler is None:
@@ -183,7 +185,7 @@
             },
             "withdrawn": sorted(self._withdrawn),
             "heard": self._view.dump(),
-            "asking_for_snapshot": self._asking,
+            "asking_for_snapshot": self._requesting_snapshot,
         }
 
     def _make_counters(self, metrics: metrics_module.Metrics) -> None:
@@ -224,7 +226,7 @@
         return zmqreactor.Connection(
             socket=socket,
             reactor=self._reactor,
-            receive=self._take,
+            receive=self._handle_frames,
             on_broken=self._kernel.fail,
         )
 
@@ -241,15 +243,15 @@
             socket.connect(f"tcp://{address}")
             self._dealers[address] = self._open(socket)
         self._shared = wanted
-        self._told_idle &= wanted.keys()
+        self._sent_idle &= wanted.keys()
         self._view.keep(wanted)
 
     def _share_loads(self) -> None:
         now = self._timers.now
         limit = self._loads_bytes_per_s * BURST_S
-        earned = (now - self._loads_at) * self._loads_bytes_per_s
+        earned = (now - self._allowance_updated_at) * self._loads_bytes_per_s
         self._loads_allowance = min(limit, self._loads_allowance + earned)
-        self._loads_at = now
+        self._allowance_updated_at = now
         # The allowance may go below zero by one round, and the next rounds
         # are left out until it is paid back: with many peers loads grow
         # older, while the bytes a second stay within what the host allows.
@@ -263,27 +265,27 @@
         ready: dict[frozenset[str], tuple[bool, bytes]] = {}
         for address, shared in self._shared.items():
             if shared not in ready:
-                told = [load for load in loads if load.endpoint in shared]
-                message = peerview.make_loads(header, told)
+                relevant = [load for load in loads if load.endpoint in shared]
+                message = peerview.make_loads(header, relevant)
                 raw = peerview.serialize_message(message)
                 ready[shared] = (not message.endpoints, raw)
             idle, raw = ready[shared]
             # Saying "nothing" again and again would make up most of what a
             # large mesh sends at night. Should the first one be lost, the
             # peer forgets the old loads by their age.
-            if idle and address in self._told_idle:
+            if idle and address in self._sent_idle:
                 continue
-            (self._told_idle.add if idle else self._told_idle.discard)(address)
+            (self._sent_idle.add if idle else self._sent_idle.discard)(address)
             self._send(address, raw)
             self._loads_allowance -= len(raw)
 
     def _share_demands(self) -> None:
         demands = self._read_demands()
         # Counters since the start: while nobody asks they stay as they were
-        # last told, and a lost message is mended by the next change.
-        if demands == self._told_demands:
+        # last sent, and a lost message is mended by the next change.
+        if demands == self._sent_demands:
             return
-        self._told_demands = demands
+        self._sent_demands = demands
         raw = peerview.serialize_message(
             peerview.Demands(header=self._make_header(), demands=demands)
         )
@@ -305,12 +307,14 @@
         for address in self._dealers:
             self._send(address, raw)
 
-    def _start_asking(self, message: peermessages.AskSnapshot) -> None:
-        self._asking = True
-        self._ask()
+    def _start_snapshot_requests(
+        self, message: peermessages.AskSnapshot
+    ) -> None:
+        self._requesting_snapshot = True
+        self._request_snapshot()
 
-    def _ask(self) -> None:
-        if not self._asking or not self._dealers:
+    def _request_snapshot(self) -> None:
+        if not self._requesting_snapshot or not self._dealers:
             return
         raw = peerview.serialize_message(
             peerview.SnapshotRequest(header=self._make_header())
@@ -320,7 +324,7 @@
         for address in self._rng.sample(addresses, count):
             self._send(address, raw)
 
-    def _answer(self, message: peermessages.AnswerSnapshot) -> None:
+    def _answer_snapshot(self, message: peermessages.AnswerSnapshot) -> None:
         raw = peerview.serialize_message(
             peerview.SnapshotReply(
                 header=self._make_header(),
@@ -340,7 +344,7 @@
         else:
             self._dropped.add()
 
-    def _take(self, frames: list[bytes]) -> None:
+    def _handle_frames(self, frames: list[bytes]) -> None:
         parsed = peerview.parse_message(frames[-1])
         if isinstance(parsed, Failure):
             self._refused.add()
@@ -349,14 +353,14 @@
         if isinstance(message, peerview.SnapshotRequest):
             self._listeners.on_snapshot_request(frames[0])
         elif isinstance(message, peerview.SnapshotReply):
-            self._asking = False
+            self._requesting_snapshot = False
             self._listeners.on_snapshot(message.snapshot)
-        elif not self._take_state(message):
+        elif not self._apply_state(message):
             self._refused.add()
             return
         self._received.add()
 
-    def _take_state(self, message: peerview.State) -> bool:
+    def _apply_state(self, message: peerview.State) -> bool:
         # Loads are only believed from daemons that the host list names. A
         # daemon that has just started is not on it yet, and may only ask.
         sender = message.header.sender
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peersocket.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peersocket.py
@@ -10,13 +10,13 @@
 HEARTBEAT_TIMEOUT_S = 6.0
 # A peer that accepts but never speaks, such as a stopped process.
 HANDSHAKE_TIMEOUT_S = 5.0
-RECONNECT_S = 0.1
+MIN_RECONNECT_S = 0.1
 # A host that is gone for good is left out by the host list; until then tries
 # are spaced out to this.
-RECONNECT_LIMIT_S = 5.0
+MAX_RECONNECT_S = 5.0
 # The largest message taken: a snapshot of some hundreds of documents of a few
 # kilobytes, with room. A larger one has its connection dropped by ZeroMQ.
-MESSAGE_LIMIT_BYTES = 8 * 1024 * 1024
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
 
 def make_socket(
@@ -34,14 +34,14 @@
     socket.setsockopt(zmq.LINGER, 0)
     socket.setsockopt(zmq.SNDHWM, queue_messages)
     socket.setsockopt(zmq.RCVHWM, queue_messages)
-    socket.setsockopt(zmq.MAXMSGSIZE, MESSAGE_LIMIT_BYTES)
+    socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
     timeout_ms = _to_ms(HEARTBEAT_TIMEOUT_S)
     socket.setsockopt(zmq.HEARTBEAT_IVL, _to_ms(HEARTBEAT_INTERVAL_S))
     socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, timeout_ms)
     socket.setsockopt(zmq.HEARTBEAT_TTL, timeout_ms)
     socket.setsockopt(zmq.HANDSHAKE_IVL, _to_ms(HANDSHAKE_TIMEOUT_S))
-    socket.setsockopt(zmq.RECONNECT_IVL, _to_ms(RECONNECT_S))
-    socket.setsockopt(zmq.RECONNECT_IVL_MAX, _to_ms(RECONNECT_LIMIT_S))
+    socket.setsockopt(zmq.RECONNECT_IVL, _to_ms(MIN_RECONNECT_S))
+    socket.setsockopt(zmq.RECONNECT_IVL_MAX, _to_ms(MAX_RECONNECT_S))
     # Set for version 4 too, ZeroMQ would call the own address ::ffff:10.0.0.1.
     # Peers know each other by the address in the host list, and would drop
     # every load from a sender that is called by another one.
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/settings.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/settings.py
@@ -231,7 +231,7 @@
     return (None if found else cls(**values)), found
 
 
-def _check_together(
+def _check_combinations(
     file: str, settings: Settings
 ) -> list[errors.SettingsError]:
     """Finds settings that are right alone and wrong together."""
@@ -300,8 +300,10 @@
     parsed = {}
     for section, cls in sections.items():
         texts = dict(parser[section]) if parser.has_section(section) else {}
-        parsed[section], wrong = _parse_section(file, section, cls, texts)
-        found.extend(wrong)
+        parsed[section], section_errors = _parse_section(
+            file, section, cls, texts
+        )
+        found.extend(section_errors)
     return Failure(tuple(found)) if found else Success(parsed)
 
 
@@ -319,7 +321,7 @@
     if isinstance(parsed, Failure):
         return parsed
     settings = Settings(**parsed.unwrap())
-    found = _check_together(file, settings)
+    found = _check_combinations(file, settings)
     return Failure(tuple(found)) if found else Success(settings)
 
 
@@ -357,12 +359,12 @@
 
 def format_error(error: errors.SettingsError) -> str:
     """Returns one error as a line for a person."""
-    place = error.file
+    location = error.file
     if error.section:
-        place += f": [{error.section}]"
+        location += f": [{error.section}]"
     if error.key:
-        place += f" {error.key}"
-    return f"{place}: {error.reason}; expected {error.expected}"
+        location += f" {error.key}"
+    return f"{location}: {error.reason}; expected {error.expected}"
 
 
 def _file_error(file: str, reason: str, expected: str) -> errors.SettingsError:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/site.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/site.py
@@ -69,7 +69,7 @@
         super().__init__()
         self.bounds = bounds
         self.totalHeadersSize = bounds.max_header_bytes
-        self._slow_call: Any = None
+        self._timeout_call: Any = None
         self._refused = False
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -81,7 +81,7 @@
         self.transport.getHandle().setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, self.bounds.buffer_bytes
         )
-        self._limit(self.bounds.idle_timeout_s)
+        self._set_timeout(self.bounds.idle_timeout_s)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Takes bytes, but none after a refusal."""
@@ -91,27 +91,27 @@
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Takes a line of a request's head."""
         if self._receivedHeaderSize == 0:
-            self._limit(self.bounds.header_timeout_s)
+            self._set_timeout(self.bounds.header_timeout_s)
         super().lineReceived(line)
 
     def allHeadersReceived(self) -> None:  # noqa: N802
         """Begins to wait for the body."""
-        self._limit(self.bounds.body_timeout_s)
+        self._set_timeout(self.bounds.body_timeout_s)
         super().allHeadersReceived()
 
     def allContentReceived(self) -> None:  # noqa: N802
         """Waits no more: the request is ours to answer now."""
-        self._limit(None)
+        self._set_timeout(None)
         super().allContentReceived()
 
     def requestDone(self, request: Any) -> None:  # noqa: N802
         """Begins to wait for the next request."""
-        self._limit(self.bounds.idle_timeout_s)
+        self._set_timeout(self.bounds.idle_timeout_s)
         super().requestDone(request)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         """Forgets the limit."""
-        self._limit(None)
+        self._set_timeout(None)
         super().connectionLost(reason)
 
     def refuse_body(self) -> None:
@@ -124,14 +124,14 @@
             )
         )
 
-    def _limit(self, limit_s: float | None) -> None:
-        if self._slow_call is not None and self._slow_call.active():
-            self._slow_call.cancel()
-        self._slow_call = None
-        if limit_s is not None:
-            self._slow_call = self.callLater(limit_s, self._too_slow)
+    def _set_timeout(self, timeout_s: float | None) -> None:
+        if self._timeout_call is not None and self._timeout_call.active():
+            self._timeout_call.cancel()
+        self._timeout_call = None
+        if timeout_s is not None:
+            self._timeout_call = self.callLater(timeout_s, self._handle_timeout)
 
-    def _too_slow(self) -> None:
+    def _handle_timeout(self) -> None:
         if self._receivedHeaderSize == 0 and not self.requests:
             self.loseConnection()
             return
@@ -149,7 +149,7 @@
         if self._refused:
             return
         self._refused = True
-        self._limit(None)
+        self._set_timeout(None)
         body = refusal.serialize_refusal(refused)
         reason = http.RESPONSES[refused.status]
         head = (
--- a/packages/bulrushgrade_daemon/tests/test_failures_authority.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_authority.py
@@ -10,7 +10,7 @@
 
 # Clocks of one machine run alike; what is measured here has room for a busy
 # machine on top of the lease's own times.
-_ROOM_S = 6.0
+_MARGIN_S = 6.0
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
     )
 
 
-def _held(engine, order_id):
+def _holds_order(engine, order_id):
     """Whether an engine holds an order at this moment."""
     return any(
         each["order_id"] == order_id and each["until_s"] is None
@@ -60,7 +60,7 @@
         cluster, 3, "--overlap", fencing=fencing, change_s=1.2
     )
     early = _order(cluster, first, engine, "prefill")
-    processes.wait_for(lambda: _held(engine, early))
+    processes.wait_for(lambda: _holds_order(engine, early))
     first.send(signal.SIGSTOP)
     frozen_s = time.monotonic()
     second = control.wait_holder(rest)
@@ -70,7 +70,7 @@
     second.send(signal.SIGKILL)
     late = cluster.append_intent(engine, "decode", term)
     (third,) = [daemon for daemon in rest if daemon is not second]
-    processes.wait_for(lambda: _held(engine, late))
+    processes.wait_for(lambda: _holds_order(engine, late))
     first.send(signal.SIGCONT)
     control.wait_settled(third, engine, "decode")
     processes.wait_for(lambda: not control.read_group(first)["unfinished"])
@@ -78,7 +78,7 @@
     held = [each["order_id"] for each in control.read_orders(engine)]
     assert held == [early, late]
     # Nobody acts until the frozen one's lease is over, and soon after it.
-    assert control.TTL_S - control.GUARD_S < lost_s < control.TTL_S + _ROOM_S
+    assert control.TTL_S - control.GUARD_S < lost_s < control.TTL_S + _MARGIN_S
     assert control.find_holders([first, third]) == [third]
     print(f"\nno holder for {lost_s:.2f} s after a freeze")
 
@@ -98,7 +98,7 @@
     (held,) = control.read_orders(engine)
     assert held["order_id"] == order_id
     assert held["term"] > term
-    assert lost_s < control.TTL_S + _ROOM_S
+    assert lost_s < control.TTL_S + _MARGIN_S
     print(f"\nno holder for {lost_s:.2f} s after a kill")
 
 
@@ -209,7 +209,7 @@
     scene.fault(cluster.log, outage=True)
     away_s = time.monotonic()
     processes.wait_for(lambda: not control.find_holders(daemons))
-    assert time.monotonic() - away_s < control.TTL_S + _ROOM_S
+    assert time.monotonic() - away_s < control.TTL_S + _MARGIN_S
     control.sleep_until(away_s + 2 * control.TTL_S)
     assert not control.find_holders(daemons)
     ids = [f"away-{number}" for number in range(4)]
--- a/packages/bulrushgrade_daemon/tests/test_failures_documents.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_documents.py
@@ -42,7 +42,7 @@
     raise AssertionError(service)
 
 
-def _vary(text, seconds):
+def _with_deadline(text, seconds):
     """Returns the assistant's text with another deadline."""
     changed = re.sub(
         r"(?m)^whole_answer_s = \d\d$", f"whole_answer_s = {seconds}", text
@@ -95,7 +95,9 @@
             cluster.list_hosts(daemons, [engine])
             scene.wait_ready(daemons[-1])
         start_s = time.monotonic()
-        base = cluster.publish("assistant", _vary(text, 30 + number), base=base)
+        base = cluster.publish(
+            "assistant", _with_deadline(text, 30 + number), base=base
+        )
         _wait_revision(daemons, "assistant", base)
         taken.append(time.monotonic() - start_s)
     taken.sort()
@@ -110,8 +112,10 @@
     _, daemons = _start(cluster, 2)
     text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
-    stolen = _vary(text, 39).replace("team = operators", "team = strangers")
-    texts = [_vary(text, 31 + number) for number in range(4)]
+    foreign = _with_deadline(text, 39).replace(
+        "team = operators", "team = strangers"
+    )
+    texts = [_with_deadline(text, 31 + number) for number in range(4)]
     commands = [
         cluster.start_command(
             "publish",
@@ -120,7 +124,7 @@
             str(base),
             "--json",
         )
-        for number, each in enumerate([*texts, stolen])
+        for number, each in enumerate([*texts, foreign])
     ]
     ends = [control.finish(each, _COMMAND_LIMIT_S) for each in commands]
     assert sorted(end.code for end in ends) == [0, 1, 1, 1, 1]
@@ -142,7 +146,7 @@
     text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
     first, second = (
-        cluster.publish("assistant", _vary(text, seconds), base=base)
+        cluster.publish("assistant", _with_deadline(text, seconds), base=base)
         for seconds in (41, 42)
     )
     _wait_revision(daemons, "assistant", first)
@@ -155,7 +159,7 @@
         assert _revision(daemon, "assistant") == first
 
 
-def test_bad_and_greedy_documents_harm_nobody(cluster):
+def test_invalid_and_oversubscribed_documents_change_nothing(cluster):
     # A new team publishes what can't be read, what is far too long, and then
     # a share that the fleet can't honour beside the one already promised.
     # The others' documents stay in force, and their callers notice nothing.
@@ -169,10 +173,10 @@
         cluster.publish(document.FLEET, fleet, base=base),
     )
     before = control.dump(daemons[0], "documents")["accepted"]
-    greedy = _read_text(cluster, "assistant")
-    greedy = greedy.replace("= assistant", "= browser")
-    greedy = greedy.replace("= operators", "= readers")
-    for text in ("[document", "x" * 200_000, greedy):
+    oversubscribed = _read_text(cluster, "assistant")
+    oversubscribed = oversubscribed.replace("= assistant", "= browser")
+    oversubscribed = oversubscribed.replace("= operators", "= readers")
+    for text in ("[document", "x" * 200_000, oversubscribed):
         cluster.publish("browser", text, team="readers")
     cluster.append(publication.STREAM, b"\x7b nonsense")
     end = cluster.append(publication.STREAM, b'{"kind": "Publish", "data": 1}')
@@ -187,8 +191,8 @@
     assert codes == ["bad_document", "bad_document", "shares_do_not_fit"]
     _assert_serves(daemons, "greedy")
     # What is right goes through behind all that.
-    modest = greedy.replace("fraction = 0.9", "fraction = 0.1")
-    good = cluster.publish("browser", modest, team="readers")
+    fitting = oversubscribed.replace("fraction = 0.9", "fraction = 0.1")
+    good = cluster.publish("browser", fitting, team="readers")
     _wait_revision(daemons, "browser", good)
 
 
@@ -211,11 +215,11 @@
     # documents were accepted by, and every host is restarted: from the
     # checkpoint that one of them wrote they come back with what was in force.
     engine, daemons = _start(cluster, 2)
-    text = _vary(_read_text(cluster, "assistant"), 44)
+    text = _with_deadline(_read_text(cluster, "assistant"), 44)
     command, file = _start_lost_publish(cluster, tmp_path, text)
-    noted = control.dump
+    read_state = control.dump
     processes.wait_for(
-        lambda: all(noted(d, "documents")["checkpoint"] for d in daemons)
+        lambda: all(read_state(d, "documents")["checkpoint"] for d in daemons)
     )
     lost = control.finish(command, _COMMAND_LIMIT_S)
     assert lost.code == 3, lost
@@ -225,7 +229,7 @@
     again = cluster.start_command("publish", file, "--json")
     assert control.finish(again, _COMMAND_LIMIT_S).code == 0
     assert len(cluster.read(publication.STREAM)) == end
-    before = noted(daemons[0], "documents")
+    before = read_state(daemons[0], "documents")
     assert before["accepted"]["assistant"]["revision"] == last["offset"]
     for daemon in daemons:
         daemon.send(signal.SIGKILL)
@@ -238,10 +242,10 @@
     cluster.list_hosts(new, [engine])
     for daemon in new:
         scene.wait_ready(daemon, engines=1)
-        after = noted(daemon, "documents")
+        after = read_state(daemon, "documents")
         assert after["accepted"] == before["accepted"]
         assert after["digest"] == before["digest"]
     _assert_serves(new, "trimmed")
     base = last["offset"]
-    later = cluster.publish("assistant", _vary(text, 45), base=base)
+    later = cluster.publish("assistant", _with_deadline(text, 45), base=base)
     _wait_revision(new, "assistant", later)
--- a/packages/bulrushgrade_daemon/tests/test_failures_once.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_once.py
@@ -19,10 +19,10 @@
 _WORK_S = 0.4
 # The log's answers come late by this much: longer than it takes to see that
 # the claim stands and to kill the daemon, and below the append's timeout.
-_LATE_S = 1.7
+_LOG_DELAY_S = 1.7
 
 
-class _Pair:
+class _Deployment:
     """Two daemons and a plain service that takes its time."""
 
     def __init__(self, *, cluster, count=2, work_s=_WORK_S):
@@ -50,7 +50,7 @@
         except (OSError, http.client.HTTPException):
             return None
 
-    def begin(self, number):
+    def start_post(self, number):
         """Books at a daemon in a thread."""
         return self.pool.submit(self.post, number)
 
@@ -91,24 +91,24 @@
     assert error["ran"] == "unknown"
 
 
-def _ask_again(pair, number):
+def _retry(deployment, number):
     """Books again as a client does that comes back once when told to."""
-    answer = pair.post(number)
+    answer = deployment.post(number)
     if answer.code != 409:
         return answer
     _assert_under_way(answer)
     assert answer.json["error"]["code"] == "running"
     time.sleep(answer.json["error"]["retry_after_s"])
-    return pair.post(number)
+    return deployment.post(number)
 
 
 def test_same_key_at_several_daemons_at_once(cluster):
     # A client that lost patience, and a balancer that sends each try to
     # another host: the same booking reaches three daemons in one moment.
-    pair = _Pair(cluster=cluster, count=3)
-    asked = [pair.begin(number % 3) for number in range(12)]
+    deployment = _Deployment(cluster=cluster, count=3)
+    asked = [deployment.start_post(number % 3) for number in range(12)]
     answers = [each.result() for each in asked]
-    assert len(pair.runs) == 1
+    assert len(deployment.runs) == 1
     first = [answer for answer in answers if answer.code == 200]
     assert first
     for answer in answers:
@@ -116,151 +116,151 @@
             assert answer.body == first[0].body
         else:
             _assert_under_way(answer)
-    again = _ask_again(pair, 1)
+    again = _retry(deployment, 1)
     assert (again.code, again.body) == (200, first[0].body)
     assert again.headers["x-idempotent-replay"] == "true"
-    other = pair.post(2, body="cake")
+    other = deployment.post(2, body="cake")
     assert (other.code, other.json["error"]["code"]) == (422, "key_conflict")
-    assert len(pair.runs) == 1
+    assert len(deployment.runs) == 1
 
 
-def test_asked_again_before_the_outcome_is_read(cluster):
+def test_retry_before_the_outcome_is_read(cluster):
     # A client gets its answer and asks another host for it in the same
     # moment. That host has not read the outcome, as the log has gone silent,
     # and still takes the key for running. It says so and when to come back;
     # once the log is back it gives the first answer.
-    pair = _Pair(cluster=cluster)
-    asked = pair.begin(0)
-    processes.wait_for(lambda: len(pair.runs) == 1)
+    deployment = _Deployment(cluster=cluster)
+    asked = deployment.start_post(0)
+    processes.wait_for(lambda: len(deployment.runs) == 1)
     scene.fault(cluster.log, silent=True)
     first = asked.result()
     assert first.code == 200
-    early = pair.post(1)
+    early = deployment.post(1)
     _assert_under_way(early)
     assert early.json["error"]["code"] == "running"
     scene.fault(cluster.log)
-    processes.wait_for(lambda: pair.post(1).code == 200)
-    again = pair.post(1)
+    processes.wait_for(lambda: deployment.post(1).code == 200)
+    again = deployment.post(1)
     assert again.body == first.body
     assert again.headers["x-idempotent-replay"] == "true"
-    assert len(pair.runs) == 1
+    assert len(deployment.runs) == 1
 
 
-def test_killed_before_the_claim_stands(cluster):
+def test_killed_before_the_claim_is_stored(cluster):
     # The log does not answer, so the claim never got there, and the host
     # dies. The retry through another host is the first that runs.
-    pair = _Pair(cluster=cluster)
+    deployment = _Deployment(cluster=cluster)
     scene.fault(cluster.log, silent=True)
-    lost = pair.begin(0)
-    host = pair.daemons[0]
+    lost = deployment.start_post(0)
+    host = deployment.daemons[0]
     processes.wait_for(lambda: _count_claimed(host) == 1)
-    pair.kill(0)
+    deployment.kill(0)
     assert lost.result() is None
     scene.fault(cluster.log)
-    assert pair.runs == []
-    processes.wait_for(lambda: pair.post(1).code == 200)
-    assert len(pair.runs) == 1
+    assert deployment.runs == []
+    processes.wait_for(lambda: deployment.post(1).code == 200)
+    assert len(deployment.runs) == 1
 
 
 def test_killed_after_the_claim(cluster):
     # The claim stands, and the host dies before it has written anything to
     # the service. Nobody can know that, so nobody may run it for it.
-    pair = _Pair(cluster=cluster)
-    before = pair.count_records()
-    scene.fault(cluster.log, slow_s=_LATE_S)
-    lost = pair.begin(0)
-    processes.wait_for(lambda: pair.count_records() > before)
-    pair.kill(0)
+    deployment = _Deployment(cluster=cluster)
+    before = deployment.count_records()
+    scene.fault(cluster.log, slow_s=_LOG_DELAY_S)
+    lost = deployment.start_post(0)
+    processes.wait_for(lambda: deployment.count_records() > before)
+    deployment.kill(0)
     assert lost.result() is None
     scene.fault(cluster.log)
-    processes.wait_for(lambda: pair.post(1).code == 409)
-    _assert_under_way(pair.post(1))
-    assert pair.runs == []
+    processes.wait_for(lambda: deployment.post(1).code == 409)
+    _assert_under_way(deployment.post(1))
+    assert deployment.runs == []
 
 
 def test_killed_after_the_write(cluster):
     # The service has begun to work on the booking when the host dies. The
     # retry must not book a second time.
-    pair = _Pair(cluster=cluster)
-    lost = pair.begin(0)
-    processes.wait_for(lambda: pair.runs)
-    pair.kill(0)
+    deployment = _Deployment(cluster=cluster)
+    lost = deployment.start_post(0)
+    processes.wait_for(lambda: deployment.runs)
+    deployment.kill(0)
     assert lost.result() is None
-    _assert_under_way(pair.post(1))
-    assert len(pair.runs) == 1
+    _assert_under_way(deployment.post(1))
+    assert len(deployment.runs) == 1
 
 
-def test_killed_before_the_outcome_stands(cluster):
+def test_killed_before_the_outcome_is_stored(cluster):
     # The caller has its answer, and the host dies before the log knows of
     # it. Another host can't give that answer, but it must not book again.
-    pair = _Pair(cluster=cluster)
-    asked = pair.begin(0)
-    processes.wait_for(lambda: pair.runs)
+    deployment = _Deployment(cluster=cluster)
+    asked = deployment.start_post(0)
+    processes.wait_for(lambda: deployment.runs)
     scene.fault(cluster.log, lose_requests=1000, stream="once.")
     assert asked.result().code == 200
-    pair.kill(0)
+    deployment.kill(0)
     scene.fault(cluster.log)
-    _assert_under_way(pair.post(1))
-    assert len(pair.runs) == 1
+    _assert_under_way(deployment.post(1))
+    assert len(deployment.runs) == 1
 
 
 def test_claim_whose_answer_was_lost(cluster):
     # The log took the claim and its answer is lost. The daemon reads its
     # claim back, runs it, and another host replays the answer.
-    pair = _Pair(cluster=cluster)
+    deployment = _Deployment(cluster=cluster)
     scene.fault(cluster.log, lose_answers=1, stream="once.")
-    first = pair.post(0)
+    first = deployment.post(0)
     assert first.code == 200, first.body
 
     def replayed():
-        answer = pair.post(1)
+        answer = deployment.post(1)
         return answer if answer.code == 200 else None
 
     second = processes.wait_for(replayed)
     assert second.body == first.body
-    assert len(pair.runs) == 1
+    assert len(deployment.runs) == 1
 
 
-def test_log_away(cluster):
+def test_log_unavailable(cluster):
     # Nobody can claim while the log is out. Callers are told at once that
     # nothing ran and when to come back; then the same key runs once.
-    pair = _Pair(cluster=cluster)
+    deployment = _Deployment(cluster=cluster)
     scene.fault(cluster.log, outage=True)
     for number in range(4):
         start_s = time.monotonic()
-        answer = pair.post(number % 2)
+        answer = deployment.post(number % 2)
         took_s = time.monotonic() - start_s
         assert (answer.code, answer.json["error"]["ran"]) == (503, "not_run")
         assert int(answer.headers["retry-after"]) >= 1
         # The first at each host may have to find out that the log is away.
         assert took_s < 3.0
         print(f"\nrefused after {took_s:.3f} s without the log")
-    assert pair.runs == []
+    assert deployment.runs == []
     scene.fault(cluster.log)
-    processes.wait_for(lambda: pair.post(0).code == 200)
-    assert len(pair.runs) == 1
+    processes.wait_for(lambda: deployment.post(0).code == 200)
+    assert len(deployment.runs) == 1
 
 
 def test_requests_without_a_key_run_at_most_once(cluster):
     # A service whose posts may not be repeated breaks the connection after
     # it has booked. Without a key there is nothing to look up later, so the
     # caller is told that nobody knows, and the daemon does not try again.
-    pair = _Pair(cluster=cluster)
-    scene.fault(pair.service, die_after=True)
+    deployment = _Deployment(cluster=cluster)
+    scene.fault(deployment.service, die_after=True)
     answer = processes.call(
         "POST",
-        pair.callers[0],
+        deployment.callers[0],
         "/services/ledger/book",
         "rings",
     )
     assert answer.code >= 500
     assert answer.json["error"]["ran"] == "unknown"
-    assert len(pair.runs) == 1
+    assert len(deployment.runs) == 1
 
 
 def test_added_latency_of_a_claim(cluster):
     # Bookings with a key wait for the log; callers pay that on each request.
-    pair = _Pair(cluster=cluster, work_s=0.0)
+    deployment = _Deployment(cluster=cluster, work_s=0.0)
 
     def measure(keyed):
         taken = []
@@ -269,7 +269,7 @@
             start_s = time.monotonic()
             answer = processes.call(
                 "POST",
-                pair.callers[0],
+                deployment.callers[0],
                 "/services/ledger/book",
                 "rings",
                 **headers,
@@ -279,7 +279,7 @@
         return statistics.median(taken), max(taken)
 
     plain, keyed = measure(False), measure(True)
-    assert len(pair.runs) == 100
+    assert len(deployment.runs) == 100
     added_s = keyed[0] - plain[0]
     print(f"\na claim adds {added_s * 1000:.1f} ms at the median")
     print(f"longest {plain[1]:.3f} s without, {keyed[1]:.3f} s with a key")
--- a/packages/bulrushgrade_daemon/tests/test_group.py
+++ b/packages/bulrushgrade_daemon/tests/test_group.py
@@ -65,7 +65,7 @@
     return made, tracker, appended
 
 
-def test_engine_left_draining_by_a_lost_holder_is_brought_back():
+def test_engine_left_draining_by_a_lost_holder_returns_to_service():
     # A group stays one engine short: its holder asked an engine to drain for
     # a change of role and died before the order, so nothing ends the drain.
     made, tracker, appended = _group([ADDRESS])
--- a/packages/bulrushgrade_daemon/tests/test_peers.py
+++ b/packages/bulrushgrade_daemon/tests/test_peers.py
@@ -61,8 +61,8 @@
     ):
         self.broken = []
         self.loads = LOADS
-        self.heard = []
-        self.asked = []
+        self.received_loads = []
+        self.snapshot_requests = []
         self.snapshots = []
         self.kernel = kernel.Kernel(
             call_soon=lambda call: reactor.callLater(0, call),
@@ -80,9 +80,11 @@
             read_loads=lambda: self.loads,
             read_demands=lambda: (),
             listeners=peermessages.Listeners(
-                on_loads=lambda peer, loads: self.heard.append((peer, loads)),
+                on_loads=lambda peer, loads: self.received_loads.append(
+                    (peer, loads)
+                ),
                 on_demands=lambda peer, demands: None,
-                on_snapshot_request=self.asked.append,
+                on_snapshot_request=self.snapshot_requests.append,
                 on_snapshot=self.snapshots.append,
             ),
             rng=random.Random(seed),
@@ -94,7 +96,7 @@
     def address(self):
         return self.peers.address
 
-    def know(self, *addresses, shared=("e1", "e2")):
+    def set_peers(self, *addresses, shared=("e1", "e2")):
         self.peers.receive(
             peermessages.SetPeers(
                 peers=tuple(
@@ -112,32 +114,34 @@
         return self.metrics.counter(f"peer_{name}_total", "").value
 
 
-class BlackHole(protocol.Protocol):
+class LossyProxy(protocol.Protocol):
     """Passes bytes between a peer and a daemon until told to lose them."""
 
     def connectionMade(self):  # noqa: N802
         self.factory.links.append(self)
         self.lost = False
         self.waiting = []
-        self.far = None
+        self.upstream = None
         address = keys.parse_address(self.factory.target)
         creator = protocol.ClientCreator(reactor, protocol.Protocol)
-        creator.connectTCP(address.host, address.port).addCallback(self.join)
+        creator.connectTCP(address.host, address.port).addCallback(
+            self.on_connected
+        )
 
-    def join(self, far):
-        self.far = far.transport
-        far.dataReceived = lambda d: self.lost or self.transport.write(d)
+    def on_connected(self, upstream):
+        self.upstream = upstream.transport
+        upstream.dataReceived = lambda d: self.lost or self.transport.write(d)
         self.dataReceived(b"".join(self.waiting))
 
     def dataReceived(self, data):  # noqa: N802
-        if self.far is None:
+        if self.upstream is None:
             self.waiting.append(data)
         elif not self.lost:
-            self.far.write(data)
+            self.upstream.write(data)
 
     def connectionLost(self, reason):  # noqa: N802
-        if self.far is not None:
-            self.far.loseConnection()
+        if self.upstream is not None:
+            self.upstream.loseConnection()
 
 
 class PeersTest(unittest.TestCase):
@@ -163,8 +167,8 @@
 
     async def make_pair(self, **kwargs):
         one, two = await self.make_node(**kwargs), await self.make_node(seed=2)
-        one.know(two.address)
-        two.know(one.address)
+        one.set_peers(two.address)
+        two.set_peers(one.address)
         return one, two
 
     async def wait_for(self, condition, each_turn=lambda: None):
@@ -173,33 +177,33 @@
             each_turn()
             await task.deferLater(reactor, 0.01, lambda: None)
 
-    async def test_loads_reach_peers_cut_to_what_they_share(self):
+    async def test_loads_sent_to_a_peer_cover_shared_endpoints_only(self):
         one, two = await self.make_pair()
-        one.know(two.address, shared=["e2"])
-        await self.wait_for(lambda: two.heard)
-        self.assertEqual(two.heard[0], (one.address, LOADS[1:]))
+        one.set_peers(two.address, shared=["e2"])
+        await self.wait_for(lambda: two.received_loads)
+        self.assertEqual(two.received_loads[0], (one.address, LOADS[1:]))
 
     async def test_bad_addresses_in_the_list_are_left_out(self):
         one, two = await self.make_pair()
-        one.know("", "localhost:70", "10.0.0.1", two.address)
+        one.set_peers("", "localhost:70", "10.0.0.1", two.address)
         self.assertEqual(list(one.peers.dump()["peers"]), [two.address])
-        await self.wait_for(lambda: two.heard)
+        await self.wait_for(lambda: two.received_loads)
 
-    async def test_idle_daemon_says_so_once(self):
+    async def test_idle_daemon_sends_empty_loads_once(self):
         one, two = await self.make_pair()
-        await self.wait_for(lambda: two.heard)
+        await self.wait_for(lambda: two.received_loads)
         one.loads = ()
-        await self.wait_for(lambda: two.heard[-1][1] == ())
-        count = len(two.heard)
+        await self.wait_for(lambda: two.received_loads[-1][1] == ())
+        count = len(two.received_loads)
         one.withdraw("e1")
         await self.wait_for(lambda: not two.peers.find_unconfirmed("e1"))
         one.withdraw()
         await self.wait_for(lambda: two.peers.find_unconfirmed("e1"))
-        self.assertEqual(len(two.heard), count)
+        self.assertEqual(len(two.received_loads), count)
         one.loads = LOADS
-        await self.wait_for(lambda: two.heard[-1][1] == LOADS)
+        await self.wait_for(lambda: two.received_loads[-1][1] == LOADS)
 
-    async def test_daemon_is_called_by_the_address_that_the_list_shows(self):
+    async def test_daemon_identifies_itself_by_its_listed_address(self):
         one = await self.make_node()
         host, _, _ = one.address.rpartition(":")
         self.assertEqual(host, "127.0.0.1")
@@ -207,10 +211,10 @@
     async def test_withdrawn_reaches_a_peer_that_connects_later(self):
         one, two = await self.make_node(), await self.make_node(seed=2)
         one.withdraw("e1")
-        two.know(one.address)
+        two.set_peers(one.address)
         self.assertEqual(two.peers.find_unconfirmed("e1"), (one.address,))
         self.assertEqual(two.peers.find_unconfirmed("not shared"), ())
-        one.know(two.address)
+        one.set_peers(two.address)
         await self.wait_for(lambda: not two.peers.find_unconfirmed("e1"))
 
     async def test_daemon_that_is_not_listed_gets_a_snapshot(self):
@@ -218,35 +222,35 @@
         # loads, as from anyone unlisted, but must answer its request, or it
         # would not become ready until the list catches up.
         old, new = await self.make_node(), await self.make_node(seed=2)
-        new.know(old.address)
+        new.set_peers(old.address)
         new.peers.receive(peermessages.AskSnapshot())
-        await self.wait_for(lambda: old.asked)
+        await self.wait_for(lambda: old.snapshot_requests)
         snapshot = publication.Snapshot(next_offset=41, digest="0", states=())
         old.peers.receive(
             peermessages.AnswerSnapshot(
-                reply_to=old.asked[0], snapshot=snapshot
+                reply_to=old.snapshot_requests[0], snapshot=snapshot
             )
         )
         await self.wait_for(lambda: new.snapshots)
         self.assertEqual(new.snapshots, [snapshot])
         self.assertFalse(new.peers.dump()["asking_for_snapshot"])
         await self.wait_for(lambda: old.count("messages_refused"))
-        self.assertEqual(old.heard, [])
+        self.assertEqual(old.received_loads, [])
 
-    async def test_replaced_peer_hears_no_old_loads(self):
+    async def test_replaced_peer_receives_no_old_loads(self):
         # Placement would avoid idle engines after a peer came back. It was
         # away for a while, its loads queued up here, and all of them reached
         # the new process in order, the oldest first.
         one, two = await self.make_pair()
-        await self.wait_for(lambda: two.heard)
+        await self.wait_for(lambda: two.received_loads)
         listen = keys.parse_address(two.address)
         await two.stop()
         await self.wait_for(lambda: one.count("messages_dropped") > 20)
         one.loads = (work.PeerLoad(endpoint="e1", running=9),)
         again = await self.make_node(listen=listen, seed=3)
-        again.know(one.address)
-        await self.wait_for(lambda: again.heard)
-        self.assertEqual(again.heard[0][1], one.loads)
+        again.set_peers(one.address)
+        await self.wait_for(lambda: again.received_loads)
+        self.assertEqual(again.received_loads[0][1], one.loads)
 
     async def test_connection_that_went_silent_is_replaced(self):
         # A peer's loads would be missing for good. A firewall between the two
@@ -255,17 +259,17 @@
         self.patch(peersocket, "HEARTBEAT_INTERVAL_S", 0.1)
         self.patch(peersocket, "HEARTBEAT_TIMEOUT_S", 0.3)
         one, two = await self.make_node(), await self.make_node(seed=2)
-        two.know(one.address)
-        factory = protocol.Factory.forProtocol(BlackHole)
+        two.set_peers(one.address)
+        factory = protocol.Factory.forProtocol(LossyProxy)
         factory.links = []
         factory.target = two.address
         port = reactor.listenTCP(0, factory, interface="127.0.0.1")
-        one.know(f"127.0.0.1:{port.getHost().port}")
-        await self.wait_for(lambda: two.heard)
+        one.set_peers(f"127.0.0.1:{port.getHost().port}")
+        await self.wait_for(lambda: two.received_loads)
         factory.links[0].lost = True
         await self.wait_for(lambda: len(factory.links) > 1)
         one.loads = (work.PeerLoad(endpoint="e1", running=9),)
-        await self.wait_for(lambda: two.heard[-1][1] == one.loads)
+        await self.wait_for(lambda: two.received_loads[-1][1] == one.loads)
         await one.stop()
         await port.stopListening()
         await self.wait_for(
@@ -275,7 +279,7 @@
     async def test_loads_keep_within_the_bytes_allowed(self):
         one, two = await self.make_pair(loads_bytes_per_s=300.0)
         started_at = reactor.seconds()
-        await self.wait_for(lambda: len(two.heard) > 7)
+        await self.wait_for(lambda: len(two.received_loads) > 7)
         spent_s = reactor.seconds() - started_at
         header = peerview.Header(
             sender=one.address, incarnation=2**52, sequence=100
@@ -296,29 +300,29 @@
         # to the network but takes nothing, and loads pile up for it; the
         # other peers must still be told.
         context = zmq.Context()
-        deaf = context.socket(zmq.ROUTER)
-        deaf.setsockopt(zmq.RCVHWM, 1)
-        port = deaf.bind_to_random_port("tcp://127.0.0.1")
+        stalled = context.socket(zmq.ROUTER)
+        stalled.setsockopt(zmq.RCVHWM, 1)
+        port = stalled.bind_to_random_port("tcp://127.0.0.1")
         names = [f"10.0.{n // 250}.{n % 250}:80" for n in range(5000)]
         loads = tuple(work.PeerLoad(endpoint=n, running=1) for n in names)
         one, two = await self.make_pair(queue_messages=4)
         one.loads = loads
-        one.know(f"127.0.0.1:{port}", two.address, shared=names)
+        one.set_peers(f"127.0.0.1:{port}", two.address, shared=names)
         await self.wait_for(lambda: one.count("messages_dropped") > 5)
-        count = len(two.heard)
-        await self.wait_for(lambda: len(two.heard) > count)
-        deaf.close(linger=0)
+        count = len(two.received_loads)
+        await self.wait_for(lambda: len(two.received_loads) > count)
+        stalled.close(linger=0)
         context.term()
 
     async def test_garbage_is_counted_and_dropped(self):
         one, two = await self.make_node(), await self.make_node(seed=2)
-        one.know(two.address)
+        one.set_peers(two.address)
         dealer = one.peers._dealers[two.address]
         await self.wait_for(
             lambda: two.count("messages_refused") >= 2,
             lambda: dealer.send([b"\xff"]) and dealer.send([b"", b""]),
         )
-        self.assertEqual(two.heard, [])
+        self.assertEqual(two.received_loads, [])
 
 
 def make_entry(number):
@@ -333,7 +337,7 @@
     )
 
 
-def test_unlisted_daemon_turns_to_a_few_others():
+def test_unlisted_daemon_asks_a_few_peers():
     hosts = [make_entry(number) for number in range(20)]
     subsets = subset.EndpointSubsets()
     subsets.update(hosts)
