--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/adapter.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/adapter.py
@@ -1,4 +1,4 @@
-"""What ties a gateway to one platform: plain functions and readers."""
+"""The interface that a platform implements for the gateway."""
 
 from collections.abc import Callable
 
@@ -20,22 +20,23 @@
 
 @attrs.frozen(kw_only=True)
 class Adapter:
-    """What ties a gateway to one platform.
+    """The platform-specific functions, readers and topics of a gateway.
 
     Attributes:
-        dialect: Translates headers.
-        configuration_reader: Reads the topic of the configuration.
-        endpoint_reader: Reads the topic of the endpoints.
-        decode_configuration: Returns the configuration in a record of a key,
-            None where the key holds something else, or a failure.
+        dialect: Translates between the platform's headers and the gateway's.
+        configuration_reader: Reads the topic that holds the configuration.
+        endpoint_reader: Reads the topic that holds the endpoints.
+        decode_configuration: Returns the configuration in a keyed record,
+            None if the key is for something else, or a failure.
         decode_registration: Returns an endpoint's registration or a failure.
-        read_cache_changes: Returns what changed in an engine's cache.
-        membership: The topic in which gateways find each other.
-        crash_topic: The topic of requests at endpoints that crashed.
-        order_topic: The topic that decides whose turn it is to order.
-        engine_control: Asks engines and orders them about.
-        operator_calls: Calls that one host at a time makes for the operator;
-            None where none are wanted.
+        read_cache_changes: Reads the changes of an engine's cache.
+        membership: The topic by which gateways discover each other.
+        crash_topic: The topic of requests in flight at endpoints that
+            crashed.
+        order_topic: The topic that decides which gateway may give orders.
+        engine_control: Queries engines and sends them orders.
+        operator_calls: Calls for the operator that one host at a time makes;
+            None if there are none.
     """
 
     dialect: dialect.Dialect
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -1,4 +1,4 @@
-"""Seeks and holds authority over groups of engines, and gives orders."""
+"""Acquires the leases of engine groups and sends orders to their engines."""
 
 from collections.abc import Callable
 import random
@@ -29,18 +29,18 @@
 
 TICK_S = 0.1
 PLAN_INTERVAL_S = 1.0
-# How long a stop waits for the release of its leases to be taken. Past it the
-# next holder waits for the lease's time, as after a crash.
+# How long a stop waits until the releases of its leases are stored. If they
+# are not, the next holder waits for the leases to expire, as after a crash.
 RELEASE_TIMEOUT_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class PeerDemands:
-    """What callers have asked another host for.
+    """The demand of callers at another host.
 
     Attributes:
         peer: The host.
-        demands: Counters since its start, one entry a model.
+        demands: Counters since that host started, one entry per model.
     """
 
     peer: str
@@ -49,18 +49,20 @@
 
 @attrs.frozen(kw_only=True)
 class AuthorityParts:
-    """The services that authority works with.
+    """The services and callbacks that `Authority` uses.
 
     Attributes:
         timers: The timer service.
         log: Reads the control streams.
         writer: Appends to them.
-        placement: Knows the engines' reports and keeps work from them.
-        host_mesh: Knows the listed hosts.
-        orders: Writes orders to engines.
-        capacity: Returns what an engine of a model reads and generates.
-        demands: Returns what callers have asked this host for.
-        on_broken: Called with the reason of a broken invariant.
+        placement: Knows the engines' reports and can hold work back from
+            them.
+        host_mesh: Knows the hosts on the host list.
+        orders: Sends orders to engines.
+        capacity: Returns an engine's rates of prefill and decode for a model,
+            in tokens a second.
+        demands: Returns the demand of this host's callers.
+        on_broken: Called with the reason when an invariant is broken.
     """
 
     timers: Any
@@ -75,7 +77,7 @@
 
 
 class Authority:
-    """This host's part in the control of its groups."""
+    """Competes for the leases of groups and controls those that it holds."""
 
     name = "authority"
     requires = ("timer", "log", "logwriter", "placing", "mesh", "orders")
@@ -91,8 +93,8 @@
         """Makes the service.
 
         Args:
-            settings: The groups and the lease's times.
-            holder: A name that is unique for this run of the daemon.
+            settings: The groups and the times of their leases.
+            holder: A name that is unique to this run of the daemon.
             parts: The services it works with.
             rng: Source of jitter.
         """
@@ -108,11 +110,11 @@
 
     @property
     def groups(self) -> tuple[group_module.Group, ...]:
-        """The groups that this host may hold."""
+        """The groups whose lease this host may hold."""
         return tuple(self._groups)
 
     async def start(self) -> None:
-        """Begins to follow the control streams."""
+        """Starts to follow the control streams."""
         for tail in self._tails:
             tail.start()
         timers = self._parts.timers
@@ -122,7 +124,7 @@
         ]
 
     async def stop(self) -> None:
-        """Gives up authority, so that the next holder need not wait."""
+        """Releases the leases, so that the next holder need not wait."""
         for subscription in self._subscriptions:
             subscription.cancel()
         releases = []
@@ -136,7 +138,7 @@
             tail.stop()
 
     def receive(self, message: Any) -> None:
-        """Takes engines' reports, peers' demands and accepted documents."""
+        """Handles engine reports, demands of peers and accepted documents."""
         now = self._parts.timers.now
         if isinstance(message, placing.EngineSeen):
             if message.load is not None:
@@ -148,7 +150,7 @@
             self._apply_weights(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns each group's state."""
+        """Returns the state of each group."""
         now = self._parts.timers.now
         return {
             "holder": self._holder,
@@ -217,8 +219,8 @@
     ) -> None:
         if holding != self._held_lease.get(group.name, False):
             self._held_lease[group.name] = holding
-            word = "held" if holding else "lost"
-            logging.info("authority over %s is %s", group.name, word)
+            word = "acquired" if holding else "lost"
+            logging.info("lease of group %s %s", group.name, word)
 
     def _plan(self) -> None:
         now = self._parts.timers.now
@@ -256,7 +258,7 @@
         )
 
     def _rank(self, group: group_module.Group) -> int | None:
-        """Returns this host's place among the group's candidates."""
+        """Returns this host's rank among the candidates, None if not one."""
         hosts = self._find_hosts(group)
         if not hosts:
             return None
@@ -293,10 +295,11 @@
                 group.set_weights(weights.goodput, weights.role_changes)
 
     def _hold(self, address: str, held: bool) -> None:
-        # With the log away no order can be ended, or given by whoever loses
-        # the lease. An engine held for it would stay out for the length of
-        # the outage though it serves; if it does change, its own report and
-        # its refusals keep work away, at the cost of one more attempt.
+        # While the log is unavailable an order can be neither completed nor
+        # taken over by the next holder. Holding work back would keep a serving
+        # engine idle for the whole outage. If the engine does change its role,
+        # its report and its refusals keep work away at the cost of one more
+        # attempt.
         held = held and self._parts.log.reachable
         self._parts.placement.hold(address, held=held)
 
@@ -317,8 +320,8 @@
         tracker, timers = group.order_tracker, self._parts.timers
 
         def check() -> bool:
-            # Asked in the turn of the write, on a connection opened before:
-            # the lease may have run out, or the order changed, meanwhile.
+            # Called right before the write on an open connection: the lease
+            # may have expired, or the order changed, while it was opened.
             if not tracker.may_send(wanted, timers.now):
                 return False
             tracker.sent(wanted, timers.now)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: claimed on the log, run at most once."""
+"""Runs requests with an idempotency key at most once, by claims on the log."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -20,18 +20,18 @@
 from bulrushgrade_daemon import plainrelay
 from bulrushgrade_daemon import refusal
 
-# Equal on all hosts and releases for as long as a key lives, see
-# `oncelog.shard_of`. Today's sizes need one; with more, a host can leave
-# some unread once the target's size asks for that.
+# Must be equal on all hosts and in all releases for the lifetime of a key, see
+# `oncelog.shard_of`. Today's load needs one shard; several allow a host to
+# leave some unread at the target size.
 SHARD_COUNT = 4
 TICK_S = 0.25
-# The log is away: tries to reach it again take about this long.
+# While the log is unavailable it is tried again about this often.
 LOG_UNAVAILABLE_RETRY_S = 2.0
-# An append whose answer was lost shows within this time on a log that is up;
-# on one that is away the caller is told so instead of being held.
+# If the log is available, an append whose response was lost can be read back
+# within this time. If not, the caller gets an error instead of waiting longer.
 READ_BACK_TIMEOUT_S = 1.0
-# How long a stop waits for outcomes to reach the log. Past it, duplicates of
-# those keys are told that the outcome is unknown, which is true.
+# How long a stop waits until outcomes are stored on the log. After that,
+# duplicates of those keys are correctly answered with an unknown outcome.
 STOP_TIMEOUT_S = 5.0
 REPLAY_HEADER = "X-Idempotent-Replay"
 
@@ -40,7 +40,7 @@
 
 
 class _Shard:
-    """One shard with its reader and those who wait for news."""
+    """One shard of the claims, its reader and the tasks waiting for records."""
 
     def __init__(self, *, view: once.OnceShard):
         self.view = view
@@ -48,20 +48,20 @@
         self._waiters: list[defer.Deferred] = []
 
     def wake(self) -> None:
-        """Has every waiter look again."""
+        """Resumes every waiting task, which then checks its claim again."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             waiter.callback(None)
 
     def wait(self) -> defer.Deferred:
-        """Fires with the next news."""
+        """Returns a deferred that fires at the next `wake`."""
         waiter: defer.Deferred = defer.Deferred()
         self._waiters.append(waiter)
         return waiter
 
 
 class Claims:
-    """Runs requests with a key on whichever host claims the key first."""
+    """Runs each request with a key on the host whose claim comes first."""
 
     name = "claims"
     requires = ("timer", "log", "logwriter")
@@ -82,9 +82,9 @@
             timers: The timer service.
             log: Reads the shards.
             writer: Appends claims and outcomes.
-            runner: This run of the daemon, for people.
+            runner: Identifies this run of the daemon to operators.
             rng: Source of jitter.
-            on_broken: Called with the reason of a broken invariant.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._timers = timers
         self._log = log
@@ -106,13 +106,13 @@
         return self._counts
 
     async def start(self) -> None:
-        """Begins to follow the shards."""
+        """Starts to follow the shards."""
         for shard in self._shards:
             shard.tail.start()
         self._tick = self._timers.every(TICK_S, self._append_due)
 
     async def stop(self) -> None:
-        """Waits for outcomes to reach the log, then follows no more."""
+        """Waits until outcomes are stored, then stops following the shards."""
         give_up_at = self._timers.now + STOP_TIMEOUT_S
         while self._count_pending() and self._timers.now < give_up_at:
             await self._timers.sleep(TICK_S)
@@ -121,10 +121,10 @@
             shard.tail.stop()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages: no service sends any here."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and how far each shard is read."""
+        """Returns the counters and the read position of each shard."""
         return {
             "counts": dict(self._counts),
             "shards": [
@@ -139,11 +139,15 @@
         }
 
     async def run(self, job: plainrelay.PlainJob, attempt: Attempt) -> Outcome:
-        """Returns the answer to the key, run here or elsewhere, or why not.
+        """Runs a request unless its key was already claimed.
 
         Args:
             job: The request, with its key.
-            attempt: Runs it, asking `job.may_write` in the turn of the write.
+            attempt: Runs the request; calls `job.may_write` right before it
+                writes to the endpoint.
+
+        Returns:
+            The answer, from this run or an earlier one, or a refusal.
         """
         key = oncelog.scoped_key(
             service=job.service.service, idempotency_key=job.key
@@ -156,8 +160,8 @@
         known = shard.view.decide(key=key, digest=digest, now=now)
         if not isinstance(known, oncedecision.Free):
             return self._respond(known)
-        # With the log away nobody can claim; the caller is told at once that
-        # nothing ran, instead of being held until the claim gives up.
+        # Without the log nobody can claim. The caller is told at once that
+        # nothing ran, instead of waiting until the claim times out.
         if not self._log.reachable:
             return self._refuse_unclaimable("the log does not answer")
         claimed = shard.view.claim(key=key, digest=digest, now=now)
@@ -188,8 +192,8 @@
             shard, job, claim_id, give_up_at
         )
         if isinstance(decision, oncedecision.Pending | oncedecision.Late):
-            # The claim may yet turn up on the log, but it can't start any
-            # more, so "not run" is and stays true.
+            # The claim may still appear on the log, but can no longer start a
+            # run, so the answer "not run" remains true.
             self._append(view.abandon(claim_id, self._timers.now))
             return self._refuse_unclaimable(
                 "the claim could not be read back in time"
@@ -211,7 +215,7 @@
         claim_id: str,
         give_up_at: float,
     ) -> oncedecision.Decision:
-        """Waits until the log has decided on a claim, or it is too late."""
+        """Waits until the log has decided on a claim or time is up."""
         key = oncelog.scoped_key(
             service=job.service.service, idempotency_key=job.key
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
@@ -1,4 +1,4 @@
-"""Follows the stream of documents and keeps the accepted ones in force."""
+"""Follows the documents stream and maintains the accepted documents."""
 
 from collections.abc import Callable
 import random
@@ -18,16 +18,17 @@
 from bulrushgrade_daemon import logclient
 from bulrushgrade_daemon import task
 
-# What the log keeps at the least, as `oncelog.OnceLimits` assumes it too. A log
-# that keeps more holds a few checkpoints of a few MB more, which is no harm.
+# The shortest retention of the log, as `oncelog.OnceLimits` assumes it too.
+# With a longer one the log just holds a few more checkpoints of a few MB each.
 RETENTION_S = 3600.0
-# Turns are seconds apart, so that looking once a second delays none.
+# The daemons' turns to append are seconds apart, so checking once a second
+# delays no checkpoint.
 CHECKPOINT_TICK_S = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class LiveDaemons:
-    """Who may append checkpoints.
+    """The daemons that may append checkpoints.
 
     Attributes:
         own_address: This daemon's address, as the host list shows it.
@@ -39,7 +40,7 @@
 
 
 class Documents:
-    """The accepted documents of this host."""
+    """Holds the accepted documents of this host."""
 
     name = "documents"
     requires = ("timer", "log")
@@ -59,8 +60,8 @@
             timers: The timer service.
             log: Reads the stream.
             rng: Source of jitter.
-            on_accepted: Called with the service index whenever it has changed.
-            on_broken: Called with the reason of a broken invariant.
+            on_accepted: Called with the service index whenever it changes.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._timers = timers
         self._log = log
@@ -92,27 +93,27 @@
 
     @property
     def registry(self) -> registry_module.Registry:
-        """The fold of the stream."""
+        """The state folded from the stream."""
         return self._registry
 
     @property
     def service_index(self) -> serviceindex.ServiceIndex | None:
-        """The accepted documents, or None before the host may serve."""
+        """The index of accepted services, or None before the host may serve."""
         return self._service_index
 
     @property
     def not_ready_reason(self) -> str | None:
-        """Why the host can't serve from what it has read, or None."""
-        # Once it has served it goes on: accepted documents never revert, so
-        # an older set is right for all but the newest changes, and refusing
-        # for the time of an outage of the log would harm every caller.
+        """The reason why the host can't serve yet, or None if it can."""
+        # A host that was ready once stays ready: accepted documents never
+        # revert, so an older set lacks only the newest changes, while refusing
+        # requests during an outage of the log would harm every caller.
         if self._service_index is not None:
             return None
         state = self._registry.readiness(self._end_offset)
         if isinstance(state, Failure):
             return state.failure().reason
-        # An empty log, or the wrong one: a host that called itself ready
-        # would take callers from those that know the services.
+        # The log is empty or the wrong one. A host that reported ready would
+        # attract callers from hosts that know the services.
         return "no fleet document has been accepted yet"
 
     @property
@@ -121,26 +122,26 @@
         return self._counts
 
     async def start(self) -> None:
-        """Begins to follow the stream."""
+        """Starts to follow the stream."""
         self._tail.start()
         self._tick = self._timers.every(
             CHECKPOINT_TICK_S, self._append_checkpoint_if_due
         )
 
     async def stop(self) -> None:
-        """Follows it no more."""
+        """Stops following the stream."""
         self._tick.cancel()
         self._tail.stop()
 
     def receive(self, message: Any) -> None:
-        """Takes snapshots of peers, and who may append checkpoints."""
+        """Handles snapshots of peers and changes of the live daemons."""
         if isinstance(message, publication.Snapshot):
             self.restore(message)
         elif isinstance(message, LiveDaemons):
             self._update_daemons(message)
 
     def restore(self, snapshot: publication.Snapshot) -> None:
-        """Takes over a peer's state where it is newer."""
+        """Adopts a peer's state if it is newer."""
         before = self._registry.next_offset
         self._registry.restore_snapshot(snapshot)
         if self._registry.next_offset != before:
@@ -148,7 +149,7 @@
             self._refresh_service_index()
 
     def dump(self) -> dict[str, Any]:
-        """Returns the accepted revisions and how far the stream is read."""
+        """Returns the accepted revisions and the position in the stream."""
         names = ("fleet", *sorted(self._registry.documents))
         accepted = {
             name: self._registry.accepted_revision(name) for name in names
@@ -177,8 +178,8 @@
         }
 
     def _apply_page(self, page: record.Page) -> None:
-        # A checkpoint read by one who had read all before it has just been
-        # written; others may be old.
+        # A checkpoint is known to be new only if this host had read the whole
+        # stream before it; otherwise it may be old.
         fresh = self._was_caught_up
         self._was_caught_up = self._tail.caught_up
         self._end_offset = page.end_offset
@@ -213,11 +214,11 @@
                 )
 
     def _append_checkpoint_if_due(self) -> None:
-        """Appends a checkpoint where it is this daemon's turn.
+        """Appends a checkpoint if it is this daemon's turn.
 
-        Without one, the documents would be gone with the log's oldest
-        records: daemons that run keep them, but once all are restarted
-        nobody could tell what was accepted, and none would serve.
+        Without checkpoints the documents would be lost with the log's oldest
+        records. Running daemons keep them in memory, but once all of them have
+        restarted none would know what was accepted, and none would serve.
         """
         if self._schedule is None or self._appending:
             return
@@ -258,8 +259,9 @@
                 )
                 stored = await self._log.append(publication.STREAM, [append])
                 if isinstance(stored, Failure):
-                    # The parts that stand are no checkpoint and do no harm;
-                    # the schedule has another daemon, or this one, try anew.
+                    # Parts that were stored are ignored, as they form no
+                    # whole checkpoint. The schedule makes another daemon, or
+                    # this one, try again.
                     return
         finally:
             self._appending = False
@@ -279,7 +281,7 @@
             self._registry.documents.values(), self._registry.fleet
         )
         logging.info(
-            "documents in force: %d services up to offset %d",
+            "accepted documents: %d services up to offset %d",
             len(self._service_index.services),
             self._registry.next_offset,
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginepoller.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginepoller.py
@@ -1,4 +1,4 @@
-"""Reads the engines' reports again and again."""
+"""Polls the load reports of the engines."""
 
 from typing import Any
 
@@ -9,13 +9,13 @@
 from bulrushgrade_daemon import placing
 from bulrushgrade_daemon import task
 
-# Reports lag anyway; reading them more often costs each engine a request a
-# daemon and brings little.
+# Load reports lag in any case. Each poll costs an engine one request per
+# daemon, so a shorter period adds load for little benefit.
 PERIOD_S = 0.25
 
 
 class EnginePoller:
-    """Polls each engine on the host list for its report."""
+    """Polls the load report of each engine on the host list."""
 
     name = "fleet"
     requires = ("timer", "engines", "placing")
@@ -32,15 +32,15 @@
         self._subscription: Any = None
 
     async def start(self) -> None:
-        """Begins to poll."""
+        """Starts to poll."""
         self._subscription = self._timers.every(PERIOD_S, self._poll)
 
     async def stop(self) -> None:
-        """Polls no more."""
+        """Stops polling."""
         self._subscription.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes lists of hosts."""
+        """Handles new host lists."""
         if isinstance(message, membership.HostList):
             self._addresses = tuple(
                 h.address
@@ -51,7 +51,7 @@
             self._poll()
 
     def dump(self) -> dict[str, Any]:
-        """Returns how many reads each engine has missed in a row."""
+        """Returns the number of consecutive failed polls of each engine."""
         return {"missed_in_a_row": self._missed}
 
     def _poll(self) -> None:
@@ -65,8 +65,8 @@
                 )
 
     async def _read(self, address: str) -> None:
-        # Reads of one engine never overlap: an engine that is slow to answer
-        # would otherwise collect them.
+        # Reads of one engine never overlap; they would pile up at an engine
+        # that is slow to respond.
         report = await self._engines.read_load(address)
         self._reading.discard(address)
         load = report.unwrap() if isinstance(report, Success) else None
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
@@ -1,7 +1,7 @@
-"""One group of engines: its lease, its orders and its plan of roles.
+"""One group of engines: its lease, its orders and its role plan.
 
 A group is the engines of one service in one zone or region, named
-``SERVICE.PLACE``. Everything here runs in turns of the authority service.
+``SERVICE.LOCATION``. The authority service calls everything in here.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 from bulrushgrade import work
 from bulrushgrade_daemon import engine
 
-# An engine that refuses work without an order is brought back after so long:
-# the platform's own drain shows on the host list by then.
+# An engine that drains without an order is returned to service after this
+# time. A drain by the platform itself shows on the host list by then.
 UNORDERED_DRAIN_TIMEOUT_S = 15.0
-# Other hosts learn from the engine that it takes no work; a request that
-# bounces there costs one more attempt, so there is little to wait for.
+# How long a role change waits for other hosts to stop placing work on the
+# engine. Short, as a request that the engine refuses costs one more attempt.
 DROP_LIMIT_S = 0.5
 
 
@@ -35,7 +35,7 @@
 
 
 def make_engine_report(load: engine.EngineLoad) -> engineorder.EngineReport:
-    """Returns what an engine's report says of what it is."""
+    """Converts an engine's load report to the form that orders use."""
     return engineorder.EngineReport(
         state=load.state,
         current=reported_configuration(load),
@@ -45,7 +45,7 @@
 
 
 def reported_configuration(load: engine.EngineLoad) -> orderlog.Wanted:
-    """Returns the role and model that an engine reports."""
+    """Returns the role, model and adapters that an engine reports."""
     return orderlog.Wanted(
         role=load.role,
         model=load.model,
@@ -56,17 +56,17 @@
 
 @attrs.frozen(kw_only=True)
 class GroupParts:
-    """What a group works with.
+    """The tracker and callbacks that a group uses.
 
     Attributes:
-        order_tracker: The orders; it holds the lease.
-        append: Appends a record; calls back with its id if it was certainly
-            not stored.
-        send_order: Writes an order to its engine.
+        order_tracker: The orders of the group and the lease they depend on.
+        append: Appends a record; calls its second argument with the record's
+            id if the record was certainly not stored.
+        send_order: Sends an order to its engine.
         ask_drain: Asks an engine to refuse new work.
-        hold: Keeps new work of this host from an engine, or no longer.
-        capacity: Returns what an engine of a model reads and generates a
-            second, in tokens.
+        hold: Sets whether this host holds new work back from an engine.
+        capacity: Returns an engine's rates of prefill and decode for a model,
+            in tokens a second.
     """
 
     order_tracker: order.OrderTracker
@@ -78,7 +78,7 @@
 
 
 class Group:
-    """The part of one candidate in the control of one group."""
+    """Controls one group while this host holds its lease."""
 
     def __init__(self, *, name: str, parts: GroupParts):
         self._name = name
@@ -108,7 +108,7 @@
 
     @property
     def lease(self) -> lease.Lease:
-        """The lease of this candidate."""
+        """This host's lease or candidacy for it."""
         return self._parts.order_tracker.authority
 
     @property
@@ -117,10 +117,10 @@
         return self._counts
 
     def set_weights(self, goodput: float, role_changes: float) -> None:
-        """Takes the service document's weights; a new plan starts with them.
+        """Sets the weights of the service document.
 
-        The history of demand goes with the old plan, which delays the next
-        change by less than a minute.
+        New weights start a new plan. The history of demand is lost with the
+        old one, which delays the next role change by less than a minute.
         """
         if (goodput, role_changes) != self._weights:
             self._weights = (goodput, role_changes)
@@ -136,12 +136,12 @@
         fencing: dict[str, bool],
         live: frozenset[str],
     ) -> None:
-        """Takes the group's engines, as they are listed now.
+        """Replaces the group's engines by those on the host list.
 
         Args:
-            engines: What they are, by address.
-            fencing: Whether each refuses orders with old numbers.
-            live: Those that the list calls live.
+            engines: The engines by address.
+            fencing: Whether each engine refuses old fencing numbers.
+            live: The addresses that the list marks as live.
         """
         self._live_engines = live
         for address in self._engines.keys() - engines.keys():
@@ -154,7 +154,7 @@
     def observe(
         self, address: str, load: engine.EngineLoad, now: float
     ) -> None:
-        """Takes an engine's report."""
+        """Applies an engine's load report."""
         if address not in self._engines:
             return
         self._loads[address] = load
@@ -172,11 +172,11 @@
     def observe_demand(
         self, host: str, demand: work.Demand, now: float
     ) -> None:
-        """Takes what callers have asked a host for."""
+        """Adds the demand of a host's callers to the plan."""
         self._plan.observe(host, demand, now)
 
     def tick(self, now: float) -> None:
-        """Does what is due: renews, orders, changes roles."""
+        """Renews the lease, sends due orders and advances a role change."""
         for append in self.lease.tick(now):
             self._parts.append(append, self.lease.append_failed)
         for append in self.order_tracker.due(now):
@@ -190,10 +190,10 @@
         self._hold_engines(now)
 
     def plan(self, now: float) -> None:
-        """Starts the change of role that pays best, if one does.
+        """Starts the most beneficial role change, if there is one.
 
-        Only the holder of the lease plans, and never two changes at a time:
-        the effect of one has to show before the next is judged.
+        Only the holder of the lease plans, and only one change at a time: the
+        effect of one must be visible before the next is evaluated.
         """
         if not self.lease.holds_lease(now) or self._change is not None:
             return
@@ -218,7 +218,7 @@
         )
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Returns the group's state for a person, ready for JSON."""
+        """Returns the group's state for debugging, ready for JSON."""
         change = self._change
         return {
             "phase": self.lease.phase,
@@ -280,11 +280,12 @@
             self._change = None
 
     def _end_unordered_drains(self, now: float) -> None:
-        """Orders engines that refuse work for nothing to stay as they are.
+        """Returns engines that drain without an order to service.
 
-        Failure guarded against: a holder asks an engine to drain and dies, or
-        loses the log, before the order. The engine then refuses all work for
-        good, which shows as a group that is one engine short.
+        Failure guarded against: a holder asks an engine to drain and crashes,
+        or loses the log, before it gives the order. The engine would refuse
+        all work forever and the group would lack one engine. An order to keep
+        its current role ends the drain.
         """
         changing = None if self._change is None else self._change.engine
         draining = {
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -1,4 +1,4 @@
-"""Puts the services of one daemon together."""
+"""Assembles the services of one daemon."""
 
 import random
 import secrets
@@ -34,7 +34,7 @@
 from bulrushgrade_daemon import settings as settings_module
 
 INCARNATION_BYTES = 4
-# The services whose own counts are shown as metrics, and what they count.
+# The services whose counters are exported as metrics, with their help texts.
 _COUNTER_HELP = {
     "callers": "Requests of callers.",
     "relay": "Model requests by how they went.",
@@ -49,12 +49,12 @@
 
 @attrs.frozen(kw_only=True)
 class Daemon:
-    """A daemon that has been put together.
+    """An assembled daemon.
 
     Attributes:
         kernel: Starts, stops and dumps its services.
-        callers: Its address for callers.
-        admin: Its address for operators.
+        callers: The service that accepts requests of callers.
+        admin: The service that operators query.
     """
 
     kernel: kernel_module.Kernel
@@ -76,7 +76,8 @@
         reactor: The reactor that it runs in.
         on_broken: Called with the reason when an invariant is broken; must
             stop the process.
-        rng: Source of every random choice; seeded by the system by default.
+        rng: Source of every random choice; by default seeded by the operating
+            system.
     """
     rng = rng or random.Random(secrets.randbits(64))
     kernel = kernel_module.Kernel(
@@ -90,7 +91,7 @@
 
 
 class _Builder:
-    """Makes the services in order and registers them."""
+    """Creates the services in order of dependency and registers them."""
 
     def __init__(self, *, settings, reactor, kernel, rng):
         self._settings = settings
@@ -323,8 +324,8 @@
         self._kernel.send("placing", message)
 
     def _on_snapshot_request(self, reply_to: bytes) -> None:
-        # A host that is not ready itself would hand on what it can't vouch
-        # for; others will answer.
+        # The documents of a host that is not ready may be incomplete; other
+        # peers answer instead.
         if self._documents.service_index is None:
             return
         answer = peermessages.AnswerSnapshot(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/hostlist.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/hostlist.py
@@ -1,4 +1,4 @@
-"""The adapter to the platform's host list."""
+"""Reads the platform's host list."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class HostListReader:
-    """Reads the host list again and again and tells of new versions."""
+    """Polls the host list and reports new versions."""
 
     name = "hostlist"
     requires = ("timer",)
@@ -35,9 +35,9 @@
             reactor: The reactor for its connections.
             timers: The timer service.
             address: The host list's ``IP:PORT``.
-            period_s: Time between reads. A leaving endpoint gets no new work
-                once a read shows it, so this and the list's own lag bound
-                that time.
+            period_s: Time between reads. An endpoint that leaves may get new
+                work until a read shows that it leaves, which takes at most
+                this time plus the lag of the list itself.
             on_hosts: Called with each list whose version is new.
         """
         self._reactor = reactor
@@ -53,24 +53,24 @@
 
     @property
     def known(self) -> bool:
-        """Whether a list has been read once."""
+        """Whether a list has been read."""
         return self._members.version is not None
 
     async def start(self) -> None:
-        """Reads the list once and then again and again."""
+        """Starts to poll the list, with a first read now."""
         self._poll()
         self._subscription = self._timers.every(self._period_s, self._poll)
 
     async def stop(self) -> None:
-        """Reads no more."""
+        """Stops polling and closes the connections."""
         self._subscription.cancel()
         await self._client.pool.closeCachedConnections()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages: no service sends any here."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the list in force and how many reads failed since."""
+        """Returns the current list and the number of failed reads since."""
         return {
             "failures_in_a_row": self._failures,
             **self._members.dump(now=self._timers.now),
@@ -95,8 +95,8 @@
         self._accept(parsed.unwrap())
 
     def _record_failure(self, failure: Any) -> None:
-        # The list being away changes nothing: the last one read stands, and
-        # endpoints that are gone show by refused connections.
+        # While the list is unavailable the last one read remains valid;
+        # endpoints that are gone are detected by refused connections.
         self._reading = False
         self._failures += 1
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/logclient.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/logclient.py
@@ -1,4 +1,4 @@
-"""The adapter to the platform's log service, and readers that follow it."""
+"""A client of the platform's log service and readers that follow streams."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -20,24 +20,25 @@
 from bulrushgrade_daemon import task
 
 APPEND_TIMEOUT_S = 2.0
-# A read waits at the log for news; the answer must come this much later at
-# the latest, or the connection counts as silent.
+# How long a read waits at the log service for new records (a long poll), and
+# how much later the response may arrive before the read times out.
 READ_WAIT_S = 5.0
 READ_GRACE_S = 2.0
 READ_LIMIT = 500
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-# After a failed read: soon enough to be in force within seconds once the log
-# is back, slow enough that hundreds of daemons do not keep it down.
+# The delay after a failed read: short enough to catch up within seconds once
+# the log recovers, long enough that hundreds of daemons don't overload it
+# again.
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class NotStored:
-    """The log certainly did not take an append.
+    """The log certainly did not store an append.
 
     Attributes:
-        reason: What it answered.
+        reason: The log's response or the connection error.
     """
 
     reason: str
@@ -45,10 +46,10 @@
 
 @attrs.frozen(kw_only=True)
 class OutcomeUnknown:
-    """An append may or may not have been stored; read back to know.
+    """An append may or may not have been stored; only a read can tell.
 
     Attributes:
-        reason: How the answer was lost.
+        reason: How the response was lost.
     """
 
     reason: str
@@ -56,7 +57,7 @@
 
 @attrs.frozen(kw_only=True)
 class Unavailable:
-    """A read failed or answered what can't be an answer.
+    """A read failed or returned an invalid response.
 
     Attributes:
         reason: What happened.
@@ -100,7 +101,7 @@
         """
         self._reactor = reactor
         self._base = f"http://{address}/streams"
-        # Long polls hold a connection each; appends must not wait for one.
+        # Each long poll occupies a connection; appends must not wait for one.
         self._appends = httpclient.open_client(reactor)
         self._reads = httpclient.open_client(reactor)
         self._counts = {"appended": 0, "append_failed": 0, "read_failed": 0}
@@ -113,7 +114,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the last call was answered."""
+        """Whether the last call got a valid response."""
         return self._reachable
 
     async def append(
@@ -123,10 +124,10 @@
 
         Args:
             stream: The stream's name.
-            appends: What to append; one request carries them all.
+            appends: The records; one request carries them all.
 
         Returns:
-            Their offsets, or what is known of a failure.
+            Their offsets, or whether they may have been stored.
         """
         body = {
             "records": [
@@ -153,13 +154,13 @@
         limit: int = READ_LIMIT,
         wait_s: float = 0.0,
     ) -> Result[record.Page, Unavailable]:
-        """Reads records from an offset on.
+        """Reads records from an offset onwards.
 
         Args:
             stream: The stream's name.
-            offset: The first offset wanted.
-            limit: At most so many records.
-            wait_s: How long the log may wait for news, in seconds.
+            offset: The first offset to return.
+            limit: The largest number of records to return.
+            wait_s: How long the log may wait for new records, in seconds.
         """
         url = (
             f"{self._base}/{stream}/records"
@@ -180,7 +181,7 @@
         return page
 
     async def start(self) -> None:
-        """Opens nothing; connections come with the first call."""
+        """Does nothing: connections are opened by the first call."""
 
     async def stop(self) -> None:
         """Closes the idle connections."""
@@ -188,10 +189,10 @@
         await self._reads.pool.closeCachedConnections()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages: no service sends any here."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and whether the log answers."""
+        """Returns the counters and whether the log is available."""
         return {"reachable": self._reachable, **self._counts}
 
     async def _post(self, stream: str, body: bytes) -> tuple[int, bytes]:
@@ -214,9 +215,9 @@
     def _parse_offsets(
         self, status: int, raw: bytes, count: int
     ) -> Result[tuple[int, ...], OutcomeUnknown]:
-        # Only a well-formed 200 proves that the records stand. Any other
-        # answer may come from something in front of the log after the log
-        # itself has stored them, so it is settled by reading back.
+        # Only a well-formed 200 proves that the records are stored. Any other
+        # response may come from a proxy after the log has stored them, so only
+        # reading the stream can tell.
         try:
             offsets = msgspec.json.decode(raw, type=_WireOffsets).offsets
         except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -230,31 +231,37 @@
 
     def _record_result(self, reachable: bool, counter: str | None) -> None:
         if reachable != self._reachable:
-            logging.info("the log answers" if reachable else "the log is away")
+            logging.info(
+                "the log is available"
+                if reachable
+                else "the log is unavailable"
+            )
         self._reachable = reachable
         if counter is not None and not reachable:
             self._counts[counter] += 1
 
 
 def parse_page(raw: bytes, offset: int) -> Result[record.Page, Unavailable]:
-    """Parses an answer to a read and checks that it makes sense.
+    """Parses a response to a read and checks that it is consistent.
 
     Args:
-        raw: The body of the answer.
-        offset: The offset that was asked for.
+        raw: The body of the response.
+        offset: The offset that was requested.
     """
     try:
         page = msgspec.json.decode(raw, type=_WirePage)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return Failure(Unavailable(reason=f"nonsense: {error}"))
+        return Failure(Unavailable(reason=f"invalid response: {error}"))
     offsets = [entry.offset for entry in page.records]
-    # A log that answers out of order would make two folds differ for good,
-    # which no later read could mend.
+    # Records out of order would make the folded states of two hosts differ
+    # permanently, which no later read could correct.
     ordered = all(a < b for a, b in zip(offsets, offsets[1:], strict=False))
     first_ok = not offsets or offsets[0] >= max(offset, page.earliest_offset)
     last = offsets[-1] + 1 if offsets else max(offset, page.earliest_offset)
     if not (ordered and first_ok and last <= page.next_offset):
-        return Failure(Unavailable(reason="nonsense: offsets out of order"))
+        return Failure(
+            Unavailable(reason="invalid response: offsets out of order")
+        )
     records = tuple(
         record.Record(offset=e.offset, record_id=e.id, body=e.body.encode())
         for e in page.records
@@ -270,7 +277,7 @@
 
 
 class LogTail:
-    """Follows one stream and hands each page to its owner."""
+    """Follows one stream and passes each page to its owner."""
 
     def __init__(
         self,
@@ -287,12 +294,12 @@
 
         Args:
             log: The client to read with.
-            timers: Paces reads after a failure.
+            timers: The timer service, for delays after a failure.
             stream: The stream to follow.
             on_page: Called with each page in order.
-            on_broken: Called with the reason when the loop fails.
+            on_broken: Called with the reason when the loop raises an error.
             rng: Source of jitter.
-            offset: Where to begin.
+            offset: The offset to start at.
         """
         self._log = log
         self._timers = timers
@@ -317,7 +324,7 @@
         return self._caught_up
 
     def start(self, *, offset: int | None = None) -> None:
-        """Begins to follow the stream, from another offset if given."""
+        """Starts to follow the stream, from another offset if given."""
         if offset is not None:
             self._offset = offset
         self._running = True
@@ -326,17 +333,17 @@
         )
 
     def seek(self, offset: int) -> None:
-        """Reads on from another offset, after the read under way."""
+        """Continues from another offset after the current read."""
         self._offset = offset
 
     def stop(self) -> None:
-        """Ends the loop at once, also in the middle of a read."""
+        """Stops the loop at once, also during a read."""
         self._running = False
         if self._loop is not None:
             self._loop.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns how far the reader has come."""
+        """Returns the reader's position and state."""
         return {
             "stream": self._stream,
             "offset": self._offset,
@@ -362,8 +369,8 @@
             self._failures = 0
             self._deliver_page(page.unwrap())
             if self._offset == requested_offset and page.unwrap().records:
-                # The owner could not judge a record and stays before it;
-                # reading the same page again at once would spin.
+                # The owner can't evaluate a record and has moved back before
+                # it; reading the same page again without delay would busy-loop.
                 self._failures += 1
                 await self._back_off()
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
@@ -15,7 +15,7 @@
 
 
 class Mesh:
-    """Works out the ties again with each host list."""
+    """Selects endpoints and peers again with each host list."""
 
     name = "mesh"
     requires = ("hostlist", "peers", "placing", "fleet", "documents")
@@ -32,7 +32,7 @@
         """Makes the service.
 
         Args:
-            kernel: Passes on the lists and the peers.
+            kernel: Passes the selection to other services.
             zone: This host's availability zone.
             region: The region of that zone.
             own_address: Returns the address for callers.
@@ -49,12 +49,12 @@
 
     @property
     def hosts(self) -> tuple[membership.Host, ...]:
-        """The listed hosts, this one included in any case."""
+        """The hosts on the host list, always including this one."""
         return self._hosts
 
     @property
     def listed_address(self) -> str:
-        """This host's address as the list shows it."""
+        """This host's address on the host list."""
         peer = self._own_peer_address()
         for host in self._hosts:
             if host.peer == peer:
@@ -62,13 +62,13 @@
         return self._own_address()
 
     async def start(self) -> None:
-        """Needs nothing opened."""
+        """Does nothing: the host list arrives as a message."""
 
     async def stop(self) -> None:
-        """Has nothing open."""
+        """Does nothing: no resources are open."""
 
     def receive(self, message: Any) -> None:
-        """Takes lists of hosts."""
+        """Handles new host lists."""
         if isinstance(message, membership.HostList):
             self._update(message)
 
@@ -80,9 +80,9 @@
         hosts = message.hosts
         peer = self._own_peer_address()
         if not any(host.peer == peer for host in hosts):
-            # The list lags behind a host that has just started, or that the
-            # list service has lost sight of. It serves what the balancer
-            # sends all the same, so it needs ties of its own.
+            # The list lacks a host that has just started or that the list
+            # service has lost. The load balancer still sends requests to it,
+            # so it needs endpoints too.
             hosts = (*hosts, self._make_own_host())
         self._hosts = hosts
         self._subsets.update(hosts)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/orders.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/orders.py
@@ -1,4 +1,4 @@
-"""Writes orders to engines; part of the engines' wire format."""
+"""Sends orders to engines over HTTP."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,13 +11,14 @@
 from bulrushgrade import engineorder
 from bulrushgrade_daemon import httpclient
 
-# An order is answered at once or not at all; what was written later than this
-# after the check would meet a closed connection at the engine.
+# An engine answers an order at once or not at all. The timeout closes the
+# connection, so that no byte of an order is sent later than this after the
+# check of the lease.
 ORDER_TIMEOUT_S = 3.0
 
 
 class OrderClient:
-    """Sends each order on a connection of its own."""
+    """Sends each order on a separate connection."""
 
     name = "orders"
     requires = ()
@@ -35,30 +36,30 @@
         return self._counts
 
     async def start(self) -> None:
-        """Opens nothing; each order has its own connection."""
+        """Does nothing: each order opens its own connection."""
 
     async def stop(self) -> None:
-        """Has nothing open."""
+        """Does nothing: no connection outlives its order."""
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages: no service sends any here."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and the orders under way."""
+        """Returns the counters and the engines with an order in transit."""
         return {"sending": sorted(self._sending), "counts": self._counts}
 
     async def send(
         self, order: engineorder.Order, check: Callable[[], bool]
     ) -> engineorder.Reply | None:
-        """Writes an order.
+        """Sends an order to its engine.
 
         Args:
             order: The order.
-            check: Asked in the turn of the write, on an open connection;
-                nothing is written where it says no.
+            check: Called right before the write, once the connection is
+                open; nothing is written if it returns False.
 
         Returns:
-            How the engine answered, or None where nothing was written.
+            The engine's reply, or None if nothing was written.
         """
         if order.engine in self._sending:
             return None
@@ -71,7 +72,11 @@
         return reply
 
     def ask_drain(self, address: str) -> None:
-        """Asks an engine to refuse new work; its report tells if it does."""
+        """Asks an engine to refuse new work.
+
+        The response is ignored: the engine's load report shows whether it
+        drains.
+        """
         self._counts["drains"] += 1
         client = httpclient.open_client(self._reactor, persistent=False)
         call = client.http.post(f"http://{address}/drain")
@@ -112,7 +117,7 @@
 
 
 def parse_reply(status: int, raw: bytes) -> engineorder.Reply:
-    """Returns what an engine's answer to an order means."""
+    """Parses an engine's response to an order."""
     if status == 202:
         return engineorder.Reply.ACCEPTED
     if status != 409:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peermessages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peermessages.py
@@ -10,7 +10,7 @@
 from bulrushgrade import subset
 from bulrushgrade import work
 
-# How many daemons one that is not listed yet turns to.
+# How many peers a daemon that is not on the host list yet connects to.
 PEERS_TO_ASK = 8
 
 
@@ -19,8 +19,8 @@
     """Another daemon that shares endpoints with this one.
 
     Attributes:
-        address: Its address for daemons, IP:PORT.
-        shared: Addresses of the endpoints that both are tied to.
+        address: Its address for peers, IP:PORT.
+        shared: Addresses of the endpoints that both are connected to.
     """
 
     address: str
@@ -29,10 +29,10 @@
 
 @attrs.frozen(kw_only=True)
 class SetPeers:
-    """Replaces the peers, after a newer host list.
+    """Replaces the peers after a new host list.
 
     Attributes:
-        peers: All of them.
+        peers: The complete set.
     """
 
     peers: tuple[Peer, ...]
@@ -43,7 +43,7 @@
     """Tells peers which endpoints this daemon places no new work on.
 
     Attributes:
-        endpoints: All of them, as addresses.
+        endpoints: The addresses of all such endpoints.
     """
 
     endpoints: frozenset[str]
@@ -59,8 +59,8 @@
     """Answers a peer that asked for the accepted documents.
 
     Attributes:
-        reply_to: As it came with the request.
-        snapshot: The state of the fold of the documents stream.
+        reply_to: The routing id that came with the request.
+        snapshot: The state folded from the documents stream.
     """
 
     reply_to: bytes
@@ -69,14 +69,14 @@
 
 @attrs.frozen(kw_only=True)
 class Listeners:
-    """Who hears what peers say.
+    """Callbacks for the messages of peers.
 
     Attributes:
-        on_loads: Called with a peer's address and all that it has in flight.
-        on_demands: Called with a peer's address and what it was asked for.
-        on_snapshot_request: Called with where the answer goes; it is sent as
-            `AnswerSnapshot`.
-        on_snapshot: Called with each snapshot that peers answer.
+        on_loads: Called with a peer's address and its work in flight.
+        on_demands: Called with a peer's address and its callers' demand.
+        on_snapshot_request: Called with the routing id of the requester, for
+            the `AnswerSnapshot` that answers it.
+        on_snapshot: Called with each snapshot that a peer sends.
     """
 
     on_loads: Callable[[str, tuple[work.PeerLoad, ...]], None]
@@ -90,17 +90,17 @@
     hosts: Iterable[membership.Host],
     own_address: str,
 ) -> tuple[Peer, ...]:
-    """Returns the peers of a daemon by the present subsets.
+    """Returns the peers that a daemon shares endpoints with.
 
     Args:
         subsets: The subsets, updated with the same hosts.
         hosts: The listed hosts.
-        own_address: The address of this daemon as the list shows it.
+        own_address: The address of this daemon on the host list.
     """
     peer_addresses = {host.address: host.peer for host in hosts if host.peer}
     if own_address not in peer_addresses:
-        # The list lags: a daemon that has just started is not on it, but has
-        # to ask somebody for the accepted documents.
+        # As the host list lags, it lacks a daemon that has just started, which
+        # still needs peers to request the accepted documents from.
         chosen = subset.rank(own_address, peer_addresses.values(), PEERS_TO_ASK)
         return tuple(Peer(address=a, shared=frozenset()) for a in chosen)
     return tuple(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
@@ -1,14 +1,15 @@
-"""The service that talks to other daemons.
-
-Each daemon binds one ROUTER and connects one DEALER to each of its peers. A
-publisher with subscribers was weighed: it saves the copies for peers that
-share the same endpoints, but it drops without saying so, filters by prefix
-and not by the endpoints shared, and would need a second pair of sockets for
-snapshots. A DEALER a peer gives a bounded queue a peer, and counts drops.
-
-What is sent here is advisory. Nothing waits for a peer, and a message that
-can't be sent at once is dropped: each message carries whole state, so the
-next one mends the loss.
+"""Exchanges loads, demands and snapshots with other daemons.
+
+Each daemon binds one ROUTER socket and connects one DEALER socket to each of
+its peers. PUB and SUB sockets were considered: they save the copies for peers
+that share the same endpoints, but they drop messages without notice, filter
+by prefix and not by shared endpoint, and would need a second pair of sockets
+for snapshots. One DEALER per peer gives each peer a bounded queue and allows
+dropped messages to be counted.
+
+All messages are advisory. Nothing waits for a peer, and a message that can't
+be queued at once is dropped: each message holds the complete state, so the
+next one makes up for a lost one.
 """
 
 from collections.abc import Callable
@@ -29,24 +30,24 @@
 from bulrushgrade_daemon import peersocket
 from bulrushgrade_daemon import zmqreactor
 
-# How often loads are sent. Placement counts a peer out that has been silent
-# for 3 s, so that several rounds may be lost or left out before that.
+# How often loads are sent. Placement ignores the loads of a peer that has sent
+# none for 3 s, so several rounds may be lost or skipped before that.
 LOADS_PERIOD_S = 0.5
-# How often withdrawn endpoints are sent again although nothing changed, so
-# that a peer that missed the change learns it within seconds.
+# How often withdrawn endpoints are sent again without a change, so that a peer
+# that missed a change receives it within seconds.
 WITHDRAWN_REPEAT_S = 5.0
-# How often and how many peers a starting daemon asks for a snapshot until one
-# answers. One answer would do; three make it likely that one is up to date.
+# How often, and how many peers, a starting daemon asks for a snapshot until one
+# answers. One answer suffices; with three one is likely to be up to date.
 SNAPSHOT_REQUEST_PERIOD_S = 0.5
 SNAPSHOT_REQUEST_PEERS = 3
-# The plan of roles adds demand up over ten seconds and more.
+# The role plan sums demand over ten seconds and more.
 DEMANDS_PERIOD_S = 2.0
-# Loads that may be sent after a quiet time, as a multiple of a second's part.
+# How many seconds' worth of unused allowance for loads may accumulate.
 BURST_S = 2.0
 
 
 class Peers:
-    """Sends this daemon's state to its peers and hands on theirs."""
+    """Sends this daemon's state to its peers and passes on theirs."""
 
     name = "peers"
     requires = ("metrics", "timer")
@@ -68,17 +69,17 @@
         """Makes the service; `start` opens its sockets.
 
         Args:
-            kernel: Where receivers and metrics are found.
+            kernel: Provides the metrics service and reports failures.
             reactor: Twisted's reactor.
             timers: The timer service.
             listen: Where to bind; with port 0 a free port is taken.
-            queue_messages: Messages held for one peer.
-            loads_bytes_per_s: What loads may use in all. Beyond it, loads
-                are sent less often, not cut short.
-            read_loads: Returns what this daemon has in flight.
-            read_demands: Returns what callers have asked this daemon for.
-            listeners: Called with what peers say.
-            rng: Draws the incarnation and which peers are asked.
+            queue_messages: Messages queued for one peer.
+            loads_bytes_per_s: Rate limit for loads to all peers together.
+                Beyond it, loads are sent less often, not truncated.
+            read_loads: Returns this daemon's work in flight.
+            read_demands: Returns the demand of this daemon's callers.
+            listeners: Called with the messages of peers.
+            rng: Chooses the incarnation and the peers to ask for snapshots.
         """
         self._kernel = kernel
         self._reactor = reactor
@@ -156,9 +157,9 @@
             self._context.term()
 
     def receive(self, message: Any) -> None:
-        """Takes a message of another service of this daemon."""
+        """Handles a message of another service of this daemon."""
         if self._router is None:
-            # Stopped, or not started yet: there is nobody to tell.
+            # Not started yet or stopped: no message can be sent.
             return
         handlers: dict[type, Callable[[Any], None]] = {
             peermessages.SetPeers: self._set_peers,
@@ -169,12 +170,12 @@
         handler = handlers.get(type(message))
         if handler is None:
             raise errors.BrokenInvariantError(
-                f"peers got a {type(message).__name__}"
+                f"peers received an unexpected {type(message).__name__}"
             )
         handler(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the service's state for a person, ready for JSON."""
+        """Returns the service's state for debugging, ready for JSON."""
         return {
             "address": self._address,
             "incarnation": self._incarnation,
@@ -252,16 +253,16 @@
         earned = (now - self._allowance_updated_at) * self._loads_bytes_per_s
         self._loads_allowance = min(limit, self._loads_allowance + earned)
         self._allowance_updated_at = now
-        # The allowance may go below zero by one round, and the next rounds
-        # are left out until it is paid back: with many peers loads grow
-        # older, while the bytes a second stay within what the host allows.
+        # The allowance may go below zero by one round; the next rounds are
+        # then skipped until it is positive again. With many peers loads are
+        # older, but the byte rate stays within the limit.
         if self._loads_allowance < 0:
             self._paced.add()
             return
         header = self._make_header()
         loads = self._read_loads()
-        # At small sizes all peers share the same endpoints; the message is
-        # then serialized once and not once a peer.
+        # With few hosts all peers share the same endpoints, so the message is
+        # serialized once and not once per peer.
         ready: dict[frozenset[str], tuple[bool, bytes]] = {}
         for address, shared in self._shared.items():
             if shared not in ready:
@@ -270,9 +271,9 @@
                 raw = peerview.serialize_message(message)
                 ready[shared] = (not message.endpoints, raw)
             idle, raw = ready[shared]
-            # Saying "nothing" again and again would make up most of what a
-            # large mesh sends at night. Should the first one be lost, the
-            # peer forgets the old loads by their age.
+            # Empty loads are sent once only: repeated, they would be most of
+            # the traffic of a large mesh at night. If that message is lost,
+            # the peer drops the old loads because of their age.
             if idle and address in self._sent_idle:
                 continue
             (self._sent_idle.add if idle else self._sent_idle.discard)(address)
@@ -281,8 +282,8 @@
 
     def _share_demands(self) -> None:
         demands = self._read_demands()
-        # Counters since the start: while nobody asks they stay as they were
-        # last sent, and a lost message is mended by the next change.
+        # Demands are counters since the start, so without requests they equal
+        # the last ones sent, and the next change makes up for a lost message.
         if demands == self._sent_demands:
             return
         self._sent_demands = demands
@@ -361,8 +362,8 @@
         self._received.add()
 
     def _apply_state(self, message: peerview.State) -> bool:
-        # Loads are only believed from daemons that the host list names. A
-        # daemon that has just started is not on it yet, and may only ask.
+        # State is accepted only from daemons on the host list. A daemon that
+        # has just started is not on it yet, and may only request snapshots.
         sender = message.header.sender
         if sender not in self._shared:
             return False
@@ -384,8 +385,8 @@
 
 
 def _is_address(text: str) -> bool:
-    # A bad line in the host list must not stop every daemon at once: ZeroMQ
-    # raises for it, or looks a name up and holds up the reactor meanwhile.
+    # An invalid address in the host list must not stop every daemon at once:
+    # ZeroMQ raises an error for it, or blocks the reactor to look up a name.
     try:
         keys.parse_address(text)
     except ValueError:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peersocket.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peersocket.py
@@ -1,21 +1,23 @@
-"""How the sockets between daemons are set up."""
+"""Creates and configures the sockets between daemons."""
 
 import zmq
 
-# A connection can go silent for good when something between the two ends has
-# lost track of it; sends then vanish without an error. Heartbeats find that
-# out, and ZeroMQ opens a new connection. The timeout allows for two lost
-# heartbeats; a shorter interval would cost a large mesh more than its loads.
+# If a firewall between the two ends drops the state of a connection, messages
+# are lost without an error. Missing heartbeats detect that, and ZeroMQ opens a
+# new connection. The timeout allows for two lost heartbeats; with a shorter
+# interval heartbeats would cost a large mesh more traffic than its loads.
 HEARTBEAT_INTERVAL_S = 2.0
 HEARTBEAT_TIMEOUT_S = 6.0
-# A peer that accepts but never speaks, such as a stopped process.
+# Bounds the wait for a peer that accepts but never responds, such as a stopped
+# process.
 HANDSHAKE_TIMEOUT_S = 5.0
 MIN_RECONNECT_S = 0.1
-# A host that is gone for good is left out by the host list; until then tries
-# are spaced out to this.
+# The longest delay between reconnects to a host that is gone, until the host
+# list no longer has it.
 MAX_RECONNECT_S = 5.0
-# The largest message taken: a snapshot of some hundreds of documents of a few
-# kilobytes, with room. A larger one has its connection dropped by ZeroMQ.
+# The largest accepted message. A snapshot of a few hundred documents of a few
+# kilobytes each is well below it. ZeroMQ closes the connection that a larger
+# one comes in on.
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
 
@@ -25,10 +27,10 @@
     """Returns a socket that is neither bound nor connected.
 
     Args:
-        context: Where it lives.
-        kind: Its type, such as ``zmq.ROUTER``.
-        address: The IP:PORT that it is to be bound or connected to.
-        queue_messages: Messages held for one peer.
+        context: The ZeroMQ context that owns the socket.
+        kind: The socket type, such as ``zmq.ROUTER``.
+        address: The IP:PORT that it will be bound or connected to.
+        queue_messages: Messages queued for one peer.
     """
     socket = context.socket(kind)
     socket.setsockopt(zmq.LINGER, 0)
@@ -42,12 +44,12 @@
     socket.setsockopt(zmq.HANDSHAKE_IVL, _to_ms(HANDSHAKE_TIMEOUT_S))
     socket.setsockopt(zmq.RECONNECT_IVL, _to_ms(MIN_RECONNECT_S))
     socket.setsockopt(zmq.RECONNECT_IVL_MAX, _to_ms(MAX_RECONNECT_S))
-    # Set for version 4 too, ZeroMQ would call the own address ::ffff:10.0.0.1.
-    # Peers know each other by the address in the host list, and would drop
-    # every load from a sender that is called by another one.
+    # With this option set for an IPv4 address, ZeroMQ would report the bound
+    # address as ::ffff:10.0.0.1. Peers identify each other by the address in
+    # the host list and would drop all loads from a sender with another one.
     socket.setsockopt(zmq.IPV6, address.startswith("["))
-    # Without a connection a message is refused, not queued: a peer that comes
-    # back must not be told minutes of old loads.
+    # Without a connection a send fails instead of queueing the message: a peer
+    # that reconnects must not receive loads that are minutes old.
     socket.setsockopt(zmq.IMMEDIATE, 1)
     return socket
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/settings.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/settings.py
@@ -1,11 +1,12 @@
-"""Settings of one daemon, read from INI and checked before anything opens.
+"""Settings of one daemon, read from INI and checked before it starts.
 
-The file holds only what belongs to the process: its addresses, its
-availability zone, where the platform is and the limits of the process.
-Whatever operators change while the system runs is a published document.
+The file holds only settings of the process: its addresses, its availability
+zone, the addresses of the platform's services and the limits of the process.
+Settings that operators change while the system runs are in published
+documents.
 
-A wrong file yields every error at once, so that an operator corrects it in
-one go and not by one failed start after another.
+All errors of a file are reported at once, so that an operator can correct
+them together instead of after one failed start each.
 """
 
 from collections.abc import Mapping
@@ -27,10 +28,10 @@
 
 @attrs.frozen(kw_only=True)
 class Host:
-    """Section ``[host]``: which host this is.
+    """Section ``[host]``: the identity of this host.
 
     Attributes:
-        name: A name for logs and dumps, unique among the entry hosts.
+        name: Its name in logs and dumps, unique among the entry hosts.
         zone: Its availability zone.
         region: The region of that zone.
     """
@@ -42,10 +43,10 @@
 
 @attrs.frozen(kw_only=True)
 class Listen:
-    """Section ``[listen]``: the addresses that the daemon opens.
+    """Section ``[listen]``: the addresses that the daemon listens on.
 
     Attributes:
-        callers: For callers, behind the platform's balancer.
+        callers: For callers, behind the platform's load balancer.
         admin: For operators: metrics and dumps.
         peers: For other daemons; the host list must show it as ``peer``.
     """
@@ -63,8 +64,8 @@
         log: The log service.
         host_list: The host list.
         weight_store: The weight store.
-        host_list_period_s: Seconds between two reads of the host list. The
-            list itself lags, so reading faster gives load and little else.
+        host_list_period_s: Seconds between two reads of the host list. As the
+            list itself lags, more frequent reads add load and little else.
     """
 
     log: keys.Address = _key(keys.address(1))
@@ -77,30 +78,31 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """Section ``[limits]``: what the process may use at most.
+    """Section ``[limits]``: limits on what the process may use.
 
     Attributes:
-        max_body_bytes: The largest request body; a whole inventory or field
-            history with room to spare.
-        max_header_bytes: All headers of a request together.
-        max_open_requests: Requests open at once; bounds memory in a flood.
-        buffer_bytes: Bytes held for one caller that reads slowly, before the
-            endpoint's stream is paused.
+        max_body_bytes: The largest request body; a complete inventory or
+            field history is well below the default.
+        max_header_bytes: The largest total size of a request's headers.
+        max_open_requests: Requests open at once; bounds memory under overload.
+        buffer_bytes: Bytes buffered for one caller that reads slowly, before
+            the endpoint's stream is paused.
         header_timeout_s: How long a caller may take to send its headers.
         body_timeout_s: How long a caller may pause within its body.
         stall_timeout_s: How long a caller may leave a full buffer unread
             before its request is cancelled.
-        idle_timeout_s: When a connection of a caller without a request is
-            closed.
-        stop_grace_s: How long the platform's balancer goes on sending
-            requests after this host says that it is not ready.
+        idle_timeout_s: How long a caller's connection may stay open without
+            a request.
+        stop_grace_s: How long the platform's load balancer goes on sending
+            requests after this host reports that it is not ready.
         drain_limit_s: How long a stop waits for requests in flight. It must
-            exceed the longest deadline of any service, or a stop cuts them.
-        peer_queue_messages: Messages held for one peer that does not take
-            them; the newest are dropped beyond that. Few, since loads are
-            out of date by the time that a long queue has been sent.
-        peer_bytes_per_s: What loads for all peers may use together; with
-            more peers they are sent less often.
+            exceed the longest deadline of any service, or a stop aborts
+            requests.
+        peer_queue_messages: Messages queued for one peer that does not read
+            them; beyond that the newest are dropped. The queue is short, as
+            loads would be out of date once a long one has been sent.
+        peer_bytes_per_s: Bytes a second for the loads sent to all peers
+            together; with more peers loads are sent less often.
     """
 
     max_body_bytes: int = _key(
@@ -138,12 +140,11 @@
     """Section ``[authority]``: leases over groups of engines.
 
     Attributes:
-        groups: The groups for which this host may hold authority; empty
-            where it never does.
-        lease_ttl_s: How long a renewal lasts, counted by the holder from
-            before it sent the append.
-        lease_guard_s: Allowance for clocks that run at unlike rates; taken
-            off the holder's time and added to a candidate's.
+        groups: The groups whose lease this host may hold; empty if none.
+        lease_ttl_s: How long a renewal is valid, which the holder counts from
+            the moment before it sent the append.
+        lease_guard_s: Allowance for clocks that run at different rates;
+            subtracted from the holder's time and added to a candidate's.
         pause_allowance_s: How long a new holder waits before its first order
             to an engine that ignores fencing numbers.
     """
@@ -156,7 +157,7 @@
 
 @attrs.frozen(kw_only=True)
 class Logging:
-    """Section ``[logging]``.
+    """Section ``[logging]``: what the daemon logs.
 
     Attributes:
         level: The least severe level that is written.
@@ -167,7 +168,7 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """The settings of one daemon, a section an attribute."""
+    """The settings of one daemon, with one attribute per section."""
 
     host: Host
     listen: Listen
@@ -190,8 +191,8 @@
 
 
 def _new_parser() -> configparser.ConfigParser:
-    # Without a default section a stray [DEFAULT] is an unknown section; with
-    # one, its keys would show up in every other section.
+    # With the parser's usual default section the keys of a [DEFAULT] section
+    # would appear in all others; with none it is an unknown section.
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     parser.optionxform = str
     return parser
@@ -234,31 +235,31 @@
 def _check_combinations(
     file: str, settings: Settings
 ) -> list[errors.SettingsError]:
-    """Finds settings that are right alone and wrong together."""
+    """Finds settings that are each valid but contradict each other."""
     found = []
     authority = settings.authority
-    # The holder renews at a third of its time; with a guard of half the
-    # lease or more, one lost append would already cost it its authority.
+    # The holder renews after a third of the lease. With a guard of half the
+    # lease or more, a single lost append would cost it the lease.
     if authority.lease_guard_s * 2 >= authority.lease_ttl_s:
         found.append(
             errors.SettingsError(
                 file=file,
                 section="authority",
                 key="lease_guard_s",
-                reason=f"{authority.lease_guard_s}: too long for the lease",
+                reason=f"{authority.lease_guard_s}: too long for lease_ttl_s",
                 expected=f"less than half of lease_ttl_s, which is"
                 f" {authority.lease_ttl_s}",
             )
         )
-    # Peers know each other by this address; the host list shows it as well.
+    # Peers identify each other by this address, which the host list shows.
     if settings.listen.peers.is_unspecified:
         found.append(
             errors.SettingsError(
                 file=file,
                 section="listen",
                 key="peers",
-                reason=f"{settings.listen.peers}: stands for every address",
-                expected="the one address that the host list shows as peer",
+                reason=f"{settings.listen.peers}: is the unspecified address",
+                expected="the address that the host list shows as peer",
             )
         )
     return found
@@ -267,16 +268,16 @@
 def parse_sections(
     text: str, *, file: str, sections: Mapping[str, type]
 ) -> Result[dict[str, Any], Errors]:
-    """Returns the sections in the text of an INI file, each as its class.
+    """Parses the text of an INI file into one object per section.
 
     Args:
         text: The text.
-        file: What errors name as the file.
-        sections: The class of each section that there may be; its fields
-            carry their kind as metadata.
+        file: The file name for error messages.
+        sections: The class of each allowed section; its fields have their
+            kind as metadata.
 
     Returns:
-        An object a section, or every error in them.
+        The objects by section, or all errors found.
     """
     parser = _new_parser()
     try:
@@ -308,14 +309,14 @@
 
 
 def parse_settings(text: str, *, file: str) -> Result[Settings, Errors]:
-    """Returns the settings in the text of an INI file.
+    """Parses the text of an INI file into settings.
 
     Args:
         text: The text.
-        file: What errors name as the file.
+        file: The file name for error messages.
 
     Returns:
-        The settings, or every error in them.
+        The settings, or all errors found.
     """
     parsed = parse_sections(text, file=file, sections=_SECTIONS)
     if isinstance(parsed, Failure):
@@ -338,12 +339,12 @@
 
 
 def read_settings(path: str) -> Result[Settings, Errors]:
-    """Returns the settings in a file, or every error in it."""
+    """Reads settings from a file; returns all errors found if it is invalid."""
     return read_text(path).bind(lambda text: parse_settings(text, file=path))
 
 
 def serialize_settings(settings: Settings) -> str:
-    """Returns settings as the text of an INI file, every key written out."""
+    """Returns settings as the text of an INI file that contains every key."""
     lines = []
     for section in _SECTIONS:
         lines.append(f"[{section}]")
@@ -358,7 +359,7 @@
 
 
 def format_error(error: errors.SettingsError) -> str:
-    """Returns one error as a line for a person."""
+    """Formats an error as one line of text."""
     location = error.file
     if error.section:
         location += f": [{error.section}]"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/site.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/site.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards callers, with bounds on what one may cost."""
+"""The HTTP server for callers, with limits per connection."""
 
 import io
 import socket
@@ -15,16 +15,16 @@
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """What one connection may cost.
+    """The limits of one connection.
 
     Attributes:
-        max_body_bytes: The largest body that is taken.
-        max_header_bytes: All headers of a request together.
-        header_timeout_s: From a request's first byte to the end of its
+        max_body_bytes: The largest accepted request body.
+        max_header_bytes: The largest total size of a request's headers.
+        header_timeout_s: From a request's first line to the end of its
             headers.
-        body_timeout_s: From there to the end of its body.
+        body_timeout_s: From the end of the headers to the end of the body.
         idle_timeout_s: Between two requests.
-        buffer_bytes: Unread bytes of an answer before its source is paused.
+        buffer_bytes: Unsent bytes of an answer before its source is paused.
     """
 
     max_body_bytes: int
@@ -36,20 +36,20 @@
 
 
 class CallerRequest(server.Request):
-    """A request whose body is held in memory, within bounds.
+    """A request whose body is kept in memory, up to a limit.
 
-    The base class would move a large body to a temporary file; the hosts have
-    no disks, and the bound keeps the memory small enough.
+    The base class would write a large body to a temporary file. The hosts have
+    no disks, and the limit bounds the memory that bodies need.
     """
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Takes the body's length, None where it comes in chunks."""
+        """Checks the body's length, which is None for a chunked body."""
         self.content = io.BytesIO()
         if length is not None and length > self.channel.bounds.max_body_bytes:
             self.channel.refuse_body()
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Takes a part of the body."""
+        """Adds a part of the body."""
         size = self.content.tell() + len(data)
         if size > self.channel.bounds.max_body_bytes:
             self.channel.refuse_body()
@@ -58,11 +58,11 @@
 
 
 class CallerChannel(http.HTTPChannel):
-    """A caller's connection, with a limit on how slowly it may send.
+    """A caller's connection, with time limits for sending a request.
 
-    The base class restarts its timeout with each byte, so that a caller that
-    sends a byte now and then holds a connection for good; here a request's
-    headers and its body each have a time in all.
+    The base class restarts its timeout with each byte, so a caller that sends a
+    byte from time to time could keep a connection open forever. Here a
+    request's headers and its body each have a total time.
     """
 
     def __init__(self, *, bounds: Bounds):
@@ -73,49 +73,49 @@
         self._refused = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Begins to wait for the first request."""
+        """Starts the timeout for the first request."""
         super().connectionMade()
         self.transport.bufferSize = self.bounds.buffer_bytes
-        # The kernel would take some megabytes more for a caller that does not
-        # read, and the engine would run on for all of them.
+        # By default the kernel would buffer some more megabytes for a caller
+        # that does not read, and the engine would go on generating for them.
         self.transport.getHandle().setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, self.bounds.buffer_bytes
         )
         self._set_timeout(self.bounds.idle_timeout_s)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Takes bytes, but none after a refusal."""
+        """Handles received bytes; ignores those after a refusal."""
         if not self._refused:
             super().dataReceived(data)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Takes a line of a request's head."""
+        """Starts the timeout for the headers at a request's first line."""
         if self._receivedHeaderSize == 0:
             self._set_timeout(self.bounds.header_timeout_s)
         super().lineReceived(line)
 
     def allHeadersReceived(self) -> None:  # noqa: N802
-        """Begins to wait for the body."""
+        """Starts the timeout for the body."""
         self._set_timeout(self.bounds.body_timeout_s)
         super().allHeadersReceived()
 
     def allContentReceived(self) -> None:  # noqa: N802
-        """Waits no more: the request is ours to answer now."""
+        """Stops the timeout: the request is complete."""
         self._set_timeout(None)
         super().allContentReceived()
 
     def requestDone(self, request: Any) -> None:  # noqa: N802
-        """Begins to wait for the next request."""
+        """Starts the timeout for the next request."""
         self._set_timeout(self.bounds.idle_timeout_s)
         super().requestDone(request)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Forgets the limit."""
+        """Stops the timeout."""
         self._set_timeout(None)
         super().connectionLost(reason)
 
     def refuse_body(self) -> None:
-        """Answers that the body is too large and closes, once."""
+        """Responds once that the body is too large and closes."""
         self._refuse(
             refusal.bad_request(
                 f"the body is over {self.bounds.max_body_bytes} bytes",
@@ -144,8 +144,8 @@
         )
 
     def _refuse(self, refused: refusal.Refusal) -> None:
-        # The request is not complete, so the usual way to answer is not open
-        # yet; the answer is written as it is and the connection closed.
+        # The base class can't respond to a request that is still incomplete, so
+        # the response is written directly and the connection closed.
         if self._refused:
             return
         self._refused = True
@@ -161,7 +161,7 @@
 
 
 class CallerSite(server.Site):
-    """Makes bounded channels for a resource."""
+    """Creates channels with limits for a resource."""
 
     def __init__(self, *, resource: Any, bounds: Bounds, reactor: Any):
         super().__init__(
@@ -182,33 +182,33 @@
         return channel
 
     def log(self, request: Any) -> None:
-        """Writes no line a request: counters stand for them."""
+        """Logs nothing per request: counters take the place of log lines."""
 
 
 @implementer(interfaces.IPushProducer)
 class FlowControl:
-    """Passes a caller's reading speed on to the source of its answer."""
+    """Pauses the source of an answer while its caller reads too slowly."""
 
     def __init__(self, *, pause: Any, resume: Any, stop: Any):
-        """Makes the control of one answer.
+        """Makes the flow control of one answer.
 
         Args:
             pause: Called when the caller's buffer is full.
-            resume: Called when it has room again.
-            stop: Called when the caller is gone.
+            resume: Called when the buffer has room again.
+            stop: Called when the caller has disconnected.
         """
         self._pause = pause
         self._resume = resume
         self._stop = stop
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """The buffer is full."""
+        """Pauses the source: the buffer is full."""
         self._pause()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """The buffer has room."""
+        """Resumes the source: the buffer has room."""
         self._resume()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The caller is gone."""
+        """Stops the source: the caller has disconnected."""
         self._stop()
--- a/packages/bulrushgrade_daemon/tests/control.py
+++ b/packages/bulrushgrade_daemon/tests/control.py
@@ -1,8 +1,8 @@
-"""Daemons that hold authority over engines, for the tests of failures.
+"""A cluster of daemons that compete for a lease, for tests of failures.
 
-It adds to `scene.Scene` what those tests need: daemons on the host list,
-short leases, records written to the control stream as a holder would, and
-what engines and daemons say of orders.
+It extends `scene.Scene` by daemons on the host list, short leases, records
+that are written to the control stream in place of a holder, and the orders
+that engines and daemons report.
 """
 
 from collections.abc import Iterable
@@ -41,19 +41,19 @@
 
 @attrs.frozen(kw_only=True)
 class CommandResult:
-    """How a command of the command line ended."""
+    """The exit code and output of a command."""
 
     code: int
     text: str
 
     @property
     def json(self) -> Any:
-        """What it printed with ``--json``."""
+        """The output of a command with ``--json``."""
         return json.loads(self.text)
 
 
 class Cluster:
-    """A scene whose daemons are listed and seek authority."""
+    """A scene whose daemons are listed and compete for a lease."""
 
     def __init__(
         self, *, started: processes.Processes, directory: pathlib.Path
@@ -65,7 +65,7 @@
 
     @property
     def started(self) -> processes.Processes:
-        """Starts further processes."""
+        """The processes of the test; starts further ones."""
         return self._started
 
     @property
@@ -74,7 +74,7 @@
         return self._scene.log
 
     def start_daemon(self, log: str = "") -> processes.Process:
-        """Starts a daemon that may hold the group, without waiting for it."""
+        """Starts a daemon that may hold the lease, without waiting for it."""
         name = f"holder-{next(self._numbers)}"
         file = scene.write_settings(
             self._directory,
@@ -112,7 +112,7 @@
         assert answer.code == 200
 
     def append(self, stream: str, body: bytes) -> int:
-        """Appends one record past every daemon; returns its offset."""
+        """Appends one record directly to the log; returns its offset."""
         record = {"id": f"test-{next(self._numbers)}", "body": body.decode()}
         answer = processes.call(
             "POST", self.log, path_of(stream), {"records": [record]}
@@ -121,7 +121,7 @@
         return answer.json["offsets"][0]
 
     def append_claim(self) -> int:
-        """Claims the empty group for a holder that runs nowhere."""
+        """Appends a claim of the unheld group for a holder that doesn't run."""
         claim = leaselog.Claim(holder="gone", after_offset=-1)
         return self.append(STREAM, leaselog.CODEC.serialize(claim))
 
@@ -133,7 +133,7 @@
         *,
         adapters: tuple[str, ...] = (),
     ) -> str:
-        """Puts an order on the log as the holder of a term would.
+        """Appends an order to the log as the holder of a term would.
 
         Returns:
             The order's id.
@@ -153,7 +153,7 @@
         return order_id
 
     def publish(self, service: str, text: str, **options: Any) -> int:
-        """Publishes a document past the command line; returns its offset."""
+        """Appends a publish directly to the log; returns its offset."""
         message = publication.Publish(
             service=service,
             team=options.get("team", "operators"),
@@ -166,14 +166,14 @@
         )
 
     def read(self, stream: str) -> list[dict[str, Any]]:
-        """Returns the records that the log has of a stream."""
+        """Returns the records of a stream on the log."""
         path = path_of(stream) + "?limit=1000"
         return processes.call("GET", self.log, path).json["records"]
 
     def start_command(
         self, *arguments: str, log: str = ""
     ) -> subprocess.Popen[str]:
-        """Starts a command of the command line."""
+        """Starts a command of the command-line program."""
         env = dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path))
         env["BULRUSHGRADE_LOG"] = log or self.log
         return subprocess.Popen(
@@ -213,7 +213,7 @@
 def finish(
     command: subprocess.Popen[str], limit_s: float = 60.0
 ) -> CommandResult:
-    """Waits for a command and returns how it ended."""
+    """Waits for a command and returns its result."""
     try:
         text, _ = command.communicate(timeout=limit_s)
     except subprocess.TimeoutExpired:
@@ -224,50 +224,50 @@
 
 
 def dump(daemon: processes.Process, service: str) -> Any:
-    """Returns one service's state of a daemon."""
+    """Returns the dump of one service of a daemon."""
     answer = processes.call("GET", daemon.ready["admin"], f"/dump/{service}")
     return answer.json
 
 
 def read_group(daemon: processes.Process) -> dict[str, Any]:
-    """Returns what a daemon says of the group."""
+    """Returns the state of the group in a daemon's dump."""
     return dump(daemon, "authority")["groups"][GROUP]
 
 
 def find_holders(
     daemons: Iterable[processes.Process],
 ) -> list[processes.Process]:
-    """Returns the daemons that say that they act for the group."""
+    """Returns the daemons that report to hold the group's lease."""
     return [d for d in daemons if read_group(d)["acting"]]
 
 
 def wait_holder(daemons: Iterable[processes.Process]) -> processes.Process:
-    """Waits until one of these daemons acts, and returns it."""
+    """Waits until one of these daemons holds the lease, and returns it."""
     daemons = list(daemons)
     (holder,) = processes.wait_for(lambda: find_holders(daemons))
     return holder
 
 
 def read_orders(engine: str) -> list[dict[str, Any]]:
-    """Returns the orders that an engine has held."""
+    """Returns the orders that an engine has accepted."""
     return processes.call("GET", engine, "/ledger").json["orders"]
 
 
 def read_load(engine: str) -> dict[str, Any]:
-    """Returns what an engine says of itself."""
+    """Returns the load report of an engine."""
     return processes.call("GET", engine, "/load").json
 
 
 def wait_settled(
     daemon: processes.Process, engine: str, role: str, *, order_id: str = ""
 ) -> None:
-    """Waits until an engine has a role and no order of it is unfinished.
+    """Waits until an engine has a role and no order is unfinished.
 
     Args:
-        daemon: Whose word counts for what is unfinished.
+        daemon: The daemon whose dump shows the unfinished orders.
         engine: The engine's address.
         role: The role.
-        order_id: The order that has to be the last one, if given.
+        order_id: If given, the order that the engine must report as its last.
     """
 
     def settled() -> bool:
@@ -282,7 +282,7 @@
 
 
 def assert_no_overlap(engine: str) -> None:
-    """Checks that an engine never held two orders at the same time."""
+    """Asserts that an engine never carried out two orders at once."""
     held = sorted(read_orders(engine), key=lambda each: each["from_s"])
     for first, second in itertools.pairwise(held):
         assert first["until_s"] is not None, held
@@ -290,5 +290,5 @@
 
 
 def sleep_until(at_s: float) -> None:
-    """Lets time pass that is itself what a test is about, such as a TTL."""
+    """Sleeps until a time, for tests that are about time, such as a TTL."""
     time.sleep(max(0.0, at_s - time.monotonic()))
--- a/packages/bulrushgrade_daemon/tests/fakes.py
+++ b/packages/bulrushgrade_daemon/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Time and timers under a test's hand."""
+"""Fake timers, logs and calls for tests."""
 
 from returns.result import Failure
 from returns.result import Success
@@ -10,7 +10,7 @@
 
 
 def make_timers():
-    """Returns a clock to advance and a running timer service on it."""
+    """Returns a fake clock, a running timer service and its failures."""
     reactor = task.Clock()
     broken = []
     timers = clock.TimerService(
@@ -21,7 +21,7 @@
 
 
 class EventRecorder:
-    """Keeps the events of a decision log."""
+    """Records the events of a decision log."""
 
     def __init__(self):
         self.text = b""
@@ -43,7 +43,10 @@
 
 
 class Answers:
-    """An async function that gives prepared answers, the last one for ever."""
+    """An async callable that returns given answers in order.
+
+    The last answer is repeated.
+    """
 
     def __init__(self, *answers):
         self.answers = list(answers)
--- a/packages/bulrushgrade_daemon/tests/test_failures_authority.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_authority.py
@@ -1,4 +1,4 @@
-"""Holders that die, freeze or lose the log, with real processes."""
+"""Lease holders that crash, freeze or lose the log, with real processes."""
 
 import signal
 import time
@@ -8,8 +8,8 @@
 import pytest
 import scene
 
-# Clocks of one machine run alike; what is measured here has room for a busy
-# machine on top of the lease's own times.
+# Added to the lease's times in bounds on measured times, for a busy machine.
+# Clocks need no allowance, as all processes share the machine's.
 _MARGIN_S = 6.0
 
 
@@ -20,7 +20,7 @@
 
 
 def _start(cluster, count, *options, fencing=True, change_s=0.8):
-    """Starts daemons and one engine; returns both once a holder acts."""
+    """Starts daemons and one engine; returns once a daemon holds the lease."""
     flag = "--fencing" if fencing else "--no-fencing"
     engine = cluster.started.standin(
         "engine", flag, "--change-s", str(change_s), *options
@@ -41,7 +41,7 @@
 
 
 def _holds_order(engine, order_id):
-    """Whether an engine holds an order at this moment."""
+    """Returns whether an engine is carrying out an order."""
     return any(
         each["order_id"] == order_id and each["until_s"] is None
         for each in control.read_orders(engine)
@@ -50,12 +50,12 @@
 
 @pytest.mark.parametrize("fencing", [True, False])
 def test_holder_frozen_in_mid_order(cluster, fencing):
-    # A holder is stopped for several TTLs while an engine carries out its
-    # order. The next holder finishes that order, announces another and dies;
-    # a third gives it. When the first wakes it believes that it holds the
-    # lease, and the order that it knows looks unfinished to it. The engine
-    # takes whatever comes, also in the middle of a change, so only the
-    # holders can keep orders apart.
+    # A holder is paused for longer than its lease while an engine carries out
+    # its order. The second holder completes that order, writes the intent of
+    # another and crashes; a third sends it. When the first resumes, its state
+    # says that it holds the lease and that its order is unfinished. The engine
+    # accepts any order, also during a change, so only the holders can prevent
+    # overlapping orders.
     engine, first, rest = _start(
         cluster, 3, "--overlap", fencing=fencing, change_s=1.2
     )
@@ -77,16 +77,17 @@
     control.assert_no_overlap(engine)
     held = [each["order_id"] for each in control.read_orders(engine)]
     assert held == [early, late]
-    # Nobody acts until the frozen one's lease is over, and soon after it.
+    # The lease is free only once that of the frozen holder has expired, and is
+    # taken over soon after.
     assert control.TTL_S - control.GUARD_S < lost_s < control.TTL_S + _MARGIN_S
     assert control.find_holders([first, third]) == [third]
     print(f"\nno holder for {lost_s:.2f} s after a freeze")
 
 
 def test_killed_holder_leaves_an_intent(cluster):
-    # A holder dies between announcing an order and giving it. Nobody else
-    # would ever give that order again, and the engine would stay out of use;
-    # the next holder takes it over under its own term.
+    # A holder crashes between writing the intent of an order and sending it.
+    # The engine would stay out of use unless the next holder took the order
+    # over under its own term.
     engine, first, (second,) = _start(cluster, 2)
     term = control.read_group(first)["term"]
     first.send(signal.SIGKILL)
@@ -103,9 +104,9 @@
 
 
 def test_woken_holder_that_cannot_read_the_log(cluster):
-    # A holder is stopped while its order waits for an answer, and when it
-    # wakes its network is gone: nothing tells it of the holder that took
-    # over meanwhile. Its own clock has to, before it gives the order again.
+    # A holder is paused while its order waits for a response, and when it
+    # resumes it has no network, so it can't read that another holder took
+    # over. By its own clock it must stop before it sends the order again.
     options = ("--overlap", "--no-fencing", "--change-s", "0.5")
     engine = cluster.started.standin("engine", *options).address
     link = cluster.started.standin("link", cluster.log)
@@ -126,7 +127,7 @@
     control.wait_holder([second])
     control.wait_settled(second, engine, "prefill", order_id=order_id)
     first.send(signal.SIGCONT)
-    # Its write is given up; from here on it would write again.
+    # Its first send has timed out; from now on it could send the order again.
     processes.wait_for(lambda: not control.dump(first, "orders")["sending"])
     turns = control.dump(first, "peers")["sequence"]
     processes.wait_for(
@@ -140,9 +141,9 @@
 
 
 def test_late_order_of_a_dead_holder(cluster):
-    # The network holds back a holder's order while the holder dies. The next
-    # one gives its own order, and then the old one arrives: the engine knows
-    # it by its number, and nothing comes of it.
+    # The network delays an order until after its holder has crashed and the
+    # next holder's order was carried out. The engine refuses the late order by
+    # its fencing number.
     engine, first, (second,) = _start(cluster, 2)
     term = control.read_group(first)["term"]
     early = _order(cluster, first, engine, "prefill")
@@ -166,10 +167,10 @@
 
 
 def test_claimants_that_do_not_know_of_each_other(cluster):
-    # Two daemons start while the host list shows neither, so each takes
-    # itself for the only candidate, and both claim at once; the answer to
-    # one claim is lost. The log's order decides: one of them acts, and the
-    # order that a dead holder left is given by that one only.
+    # Two daemons start while the host list has neither, so each considers
+    # itself the only candidate and both claim at once; responses to claims are
+    # lost. The order on the log decides: only one holds the lease and sends
+    # the order that a crashed holder left.
     engine = cluster.started.standin("engine", "--overlap").address
     term = cluster.append_claim()
     order_id = cluster.append_intent(engine, "prefill", term)
@@ -187,9 +188,9 @@
 
 
 def test_engine_crashes_partway_through_a_change(cluster):
-    # An engine dies in the middle of a change, comes back as it was before,
-    # and has forgotten the order. Without another try it would stay out of
-    # use for good; sent too early it would be lost as well.
+    # An engine crashes during a change, restarts in its old role and has lost
+    # the order. Unless the order is sent again the engine stays out of use; if
+    # it is sent too early it is lost as well.
     engine, holder, _ = _start(cluster, 1, change_s=0.4)
     scene.fault(engine, crash_changes=1, down_s=0.5)
     order_id = _order(cluster, holder, engine, "prefill")
@@ -201,9 +202,9 @@
 
 
 def test_log_away_for_longer_than_the_lease(cluster):
-    # The log is out. Roles stay as they are, since nobody can prove that it
-    # holds authority, and callers are served as before; an order announced
-    # just before goes out once the log is back.
+    # During an outage of the log no daemon can prove that it holds the lease,
+    # so roles stay unchanged and callers are served as before. Once the log is
+    # back a holder is found and orders are carried out again.
     engine, holder, others = _start(cluster, 2)
     daemons = [holder, *others]
     scene.fault(cluster.log, outage=True)
@@ -227,8 +228,8 @@
 
 
 def test_planned_stop_hands_over_at_once(cluster):
-    # A host is stopped on purpose, as in each deployment. It gives up the
-    # lease, so that nobody waits for a TTL to pass.
+    # A host is stopped on purpose, as in each deployment. It must release the
+    # lease, so that the next holder doesn't wait until it expires.
     _, first, (second,) = _start(cluster, 2)
     first.send(signal.SIGTERM)
     assert first.wait() == 0
@@ -241,9 +242,9 @@
 
 
 def test_control_stream_trimmed_under_a_fresh_reader(cluster):
-    # The log has trimmed the holder's claim when a new host starts. It can't
-    # know who holds the group, and must neither act beside the holder nor
-    # wait for ever once that dies.
+    # A new host starts after the log has trimmed the holder's claim, so it
+    # can't know who holds the lease. It must neither act beside the holder nor
+    # wait forever once that has crashed.
     engine, first, _ = _start(cluster, 1)
     term = control.read_group(first)["term"]
     end = cluster.read(control.STREAM)[-1]["offset"] + 1
--- a/packages/bulrushgrade_daemon/tests/test_failures_documents.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_documents.py
@@ -1,4 +1,4 @@
-"""Documents that race, get lost, or ask too much, with real processes."""
+"""Concurrent, lost and invalid publishes, with real processes."""
 
 import re
 import signal
@@ -12,8 +12,8 @@
 from bulrushgrade import document
 from bulrushgrade import publication
 
-# Long enough for a starting command, a lost answer and the limit of the
-# publisher's search together.
+# Allows for the start of a command, a lost response and the time limit of the
+# publisher's search for its record, together.
 _COMMAND_LIMIT_S = 60.0
 _IN_FORCE_LIMIT_S = 6.0
 
@@ -43,7 +43,7 @@
 
 
 def _with_deadline(text, seconds):
-    """Returns the assistant's text with another deadline."""
+    """Returns the assistant's document with another deadline."""
     changed = re.sub(
         r"(?m)^whole_answer_s = \d\d$", f"whole_answer_s = {seconds}", text
     )
@@ -81,8 +81,8 @@
 
 
 def test_in_force_on_every_host_within_seconds(cluster):
-    # A team publishes, and expects every host to go by it a few seconds
-    # later, also while hosts come and go.
+    # Every host must apply a published document within a few seconds, also
+    # while hosts crash and start.
     engine, daemons = _start(cluster, 3)
     text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
@@ -107,8 +107,8 @@
 
 def test_race_of_publishers(cluster, tmp_path):
     # Four operators of one team edit the same revision, and one of another
-    # team publishes a document under that service's name. One wins, the
-    # others are told what beat them, and all hosts agree.
+    # team publishes a document under that service's name. One of the edits is
+    # accepted, the others fail with its revision, and all hosts agree.
     _, daemons = _start(cluster, 2)
     text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
@@ -139,9 +139,9 @@
 
 
 def test_race_on_the_log_itself(cluster):
-    # Two operators' records for one revision stand on the log one after the
-    # other: each had looked before the other wrote, so no check of a command
-    # line could see it. The second must not undo the first one's change.
+    # Two operators' publishes of the same base revision are on the log. Each
+    # command checked the revision before the other wrote, so neither could
+    # detect the conflict. The second must not undo the first one's change.
     _, daemons = _start(cluster, 2)
     text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
@@ -160,9 +160,9 @@
 
 
 def test_invalid_and_oversubscribed_documents_change_nothing(cluster):
-    # A new team publishes what can't be read, what is far too long, and then
-    # a share that the fleet can't honour beside the one already promised.
-    # The others' documents stay in force, and their callers notice nothing.
+    # A new team publishes an unreadable document, one that is too long, and one
+    # whose guaranteed share doesn't fit beside those already accepted. The
+    # accepted documents must stay unchanged and their callers unaffected.
     _, daemons = _start(cluster, 2)
     fleet = _read_text(cluster, document.FLEET)
     fleet += "\n[team readers]\nservices = browser\n"
@@ -190,14 +190,14 @@
     codes = [each["code"] for each in _read_history(cluster, "browser")]
     assert codes == ["bad_document", "bad_document", "shares_do_not_fit"]
     _assert_serves(daemons, "greedy")
-    # What is right goes through behind all that.
+    # A valid document is accepted after all of these.
     fitting = oversubscribed.replace("fraction = 0.9", "fraction = 0.1")
     good = cluster.publish("browser", fitting, team="readers")
     _wait_revision(daemons, "browser", good)
 
 
 def _start_lost_publish(cluster, tmp_path, text):
-    """Publishes over a link that goes silent once the log has the record."""
+    """Publishes over a link that goes silent once the record is stored."""
     link = cluster.started.standin("link", cluster.log)
     scene.fault(link.ready["admin"], delay_s=0.4)
     end = len(cluster.read(publication.STREAM))
@@ -209,11 +209,11 @@
 
 
 def test_lost_answer_and_trimmed_log(cluster, tmp_path):
-    # An operator's network fails while the log takes the document. The
-    # command can't know, and says so with 3; the history tells, and to
-    # publish again does no harm. Meanwhile the log has trimmed all that the
-    # documents were accepted by, and every host is restarted: from the
-    # checkpoint that one of them wrote they come back with what was in force.
+    # An operator's network fails while the log stores the document. The command
+    # can't know the outcome and exits with 3; the history shows it, and
+    # publishing again changes nothing. Then the log trims all publishes and
+    # every host is restarted: a checkpoint that one of them wrote must restore
+    # the accepted documents.
     engine, daemons = _start(cluster, 2)
     text = _with_deadline(_read_text(cluster, "assistant"), 44)
     command, file = _start_lost_publish(cluster, tmp_path, text)
--- a/packages/bulrushgrade_daemon/tests/test_failures_once.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_once.py
@@ -1,8 +1,8 @@
-"""Requests with a key, whose daemons die at each step, with real processes.
+"""Requests with a key and daemons that crash at each step, in real processes.
 
-The plain stand-in enters every run in its ledger before it works on it. For
-a key there must be at most one, and whoever asks again is told the first
-answer or the truth.
+The plain stand-in writes every run to its ledger before it processes it. Each
+key must have at most one run, and a retry must get the first answer or a
+correct statement of the outcome.
 """
 
 import concurrent.futures
@@ -17,13 +17,13 @@
 import scene
 
 _WORK_S = 0.4
-# The log's answers come late by this much: longer than it takes to see that
-# the claim stands and to kill the daemon, and below the append's timeout.
+# The delay of the log's responses: longer than it takes to see that the claim
+# is stored and to kill the daemon, and shorter than the append timeout.
 _LOG_DELAY_S = 1.7
 
 
 class _Deployment:
-    """Two daemons and a plain service that takes its time."""
+    """Some daemons and a plain service that takes a while per request."""
 
     def __init__(self, *, cluster, count=2, work_s=_WORK_S):
         self.cluster = cluster
@@ -37,7 +37,7 @@
         self.pool = concurrent.futures.ThreadPoolExecutor(16)
 
     def post(self, number, key="wedding", body="rings"):
-        """Books with a key at a daemon; None where the connection broke."""
+        """Sends a request with a key; returns None if the connection broke."""
         headers = {"Idempotency_Key": key}
         try:
             return processes.call(
@@ -51,7 +51,7 @@
             return None
 
     def start_post(self, number):
-        """Books at a daemon in a thread."""
+        """Calls `post` in a thread."""
         return self.pool.submit(self.post, number)
 
     def kill(self, number):
@@ -84,7 +84,7 @@
 
 
 def _assert_under_way(answer):
-    """A true 409: somebody has the key, and nobody can say how it ended."""
+    """Asserts a 409 for a claimed key whose outcome is unknown."""
     assert answer.code == 409, answer.body
     error = answer.json["error"]
     assert error["code"] in ("running", "outcome_unknown")
@@ -92,7 +92,7 @@
 
 
 def _retry(deployment, number):
-    """Books again as a client does that comes back once when told to."""
+    """Sends the request again, and once more if told when to retry."""
     answer = deployment.post(number)
     if answer.code != 409:
         return answer
@@ -103,8 +103,8 @@
 
 
 def test_same_key_at_several_daemons_at_once(cluster):
-    # A client that lost patience, and a balancer that sends each try to
-    # another host: the same booking reaches three daemons in one moment.
+    # A client retries early and the load balancer sends each attempt to another
+    # host, so the same request reaches three daemons at once.
     deployment = _Deployment(cluster=cluster, count=3)
     asked = [deployment.start_post(number % 3) for number in range(12)]
     answers = [each.result() for each in asked]
@@ -125,10 +125,10 @@
 
 
 def test_retry_before_the_outcome_is_read(cluster):
-    # A client gets its answer and asks another host for it in the same
-    # moment. That host has not read the outcome, as the log has gone silent,
-    # and still takes the key for running. It says so and when to come back;
-    # once the log is back it gives the first answer.
+    # A client gets its answer and at once sends the same request to another
+    # host. The log no longer responds, so that host has not read the outcome
+    # and still considers the key running. It must say so and when to retry, and
+    # give the first answer once the log is back.
     deployment = _Deployment(cluster=cluster)
     asked = deployment.start_post(0)
     processes.wait_for(lambda: len(deployment.runs) == 1)
@@ -147,8 +147,8 @@
 
 
 def test_killed_before_the_claim_is_stored(cluster):
-    # The log does not answer, so the claim never got there, and the host
-    # dies. The retry through another host is the first that runs.
+    # The log does not respond, so the claim is not stored, and the host
+    # crashes. A retry through another host is the first run.
     deployment = _Deployment(cluster=cluster)
     scene.fault(cluster.log, silent=True)
     lost = deployment.start_post(0)
@@ -163,8 +163,8 @@
 
 
 def test_killed_after_the_claim(cluster):
-    # The claim stands, and the host dies before it has written anything to
-    # the service. Nobody can know that, so nobody may run it for it.
+    # The claim is stored, and the host crashes before it has written anything
+    # to the service. Other hosts can't know that, so none may run the request.
     deployment = _Deployment(cluster=cluster)
     before = deployment.count_records()
     scene.fault(cluster.log, slow_s=_LOG_DELAY_S)
@@ -179,8 +179,8 @@
 
 
 def test_killed_after_the_write(cluster):
-    # The service has begun to work on the booking when the host dies. The
-    # retry must not book a second time.
+    # The host crashes after the service has started to process the request. A
+    # retry must not run it a second time.
     deployment = _Deployment(cluster=cluster)
     lost = deployment.start_post(0)
     processes.wait_for(lambda: deployment.runs)
@@ -191,8 +191,9 @@
 
 
 def test_killed_before_the_outcome_is_stored(cluster):
-    # The caller has its answer, and the host dies before the log knows of
-    # it. Another host can't give that answer, but it must not book again.
+    # The caller has its answer, and the host crashes before the outcome is
+    # stored. Another host can't give that answer and must not run the request
+    # again.
     deployment = _Deployment(cluster=cluster)
     asked = deployment.start_post(0)
     processes.wait_for(lambda: deployment.runs)
@@ -205,8 +206,8 @@
 
 
 def test_claim_whose_answer_was_lost(cluster):
-    # The log took the claim and its answer is lost. The daemon reads its
-    # claim back, runs it, and another host replays the answer.
+    # The log stored the claim but its response is lost. The daemon reads its
+    # claim back and runs the request, and another host replays the answer.
     deployment = _Deployment(cluster=cluster)
     scene.fault(cluster.log, lose_answers=1, stream="once.")
     first = deployment.post(0)
@@ -222,8 +223,8 @@
 
 
 def test_log_unavailable(cluster):
-    # Nobody can claim while the log is out. Callers are told at once that
-    # nothing ran and when to come back; then the same key runs once.
+    # During an outage of the log no host can claim. Callers must be told at
+    # once that nothing ran and when to retry; then the same key runs once.
     deployment = _Deployment(cluster=cluster)
     scene.fault(cluster.log, outage=True)
     for number in range(4):
@@ -232,7 +233,7 @@
         took_s = time.monotonic() - start_s
         assert (answer.code, answer.json["error"]["ran"]) == (503, "not_run")
         assert int(answer.headers["retry-after"]) >= 1
-        # The first at each host may have to find out that the log is away.
+        # The first at each host may have to detect that the log is unavailable.
         assert took_s < 3.0
         print(f"\nrefused after {took_s:.3f} s without the log")
     assert deployment.runs == []
@@ -242,9 +243,9 @@
 
 
 def test_requests_without_a_key_run_at_most_once(cluster):
-    # A service whose posts may not be repeated breaks the connection after
-    # it has booked. Without a key there is nothing to look up later, so the
-    # caller is told that nobody knows, and the daemon does not try again.
+    # A service whose requests must not be repeated closes the connection after
+    # it has processed one. Without a key there is no record to look up, so the
+    # daemon must not retry and must report that the outcome is unknown.
     deployment = _Deployment(cluster=cluster)
     scene.fault(deployment.service, die_after=True)
     answer = processes.call(
@@ -259,7 +260,7 @@
 
 
 def test_added_latency_of_a_claim(cluster):
-    # Bookings with a key wait for the log; callers pay that on each request.
+    # Each request with a key waits for the log. Measures the added latency.
     deployment = _Deployment(cluster=cluster, work_s=0.0)
 
     def measure(keyed):
--- a/packages/bulrushgrade_daemon/tests/test_failures_peers.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_peers.py
@@ -1,4 +1,4 @@
-"""Failures that the mesh of daemons carries callers through."""
+"""Failures that must not affect callers thanks to messages between peers."""
 
 import signal
 
@@ -7,7 +7,7 @@
 
 
 def _list_all(cluster, engine, daemons):
-    """Sets the host list to an engine and some daemons."""
+    """Sets the host list to one engine and some daemons."""
     usual = {
         "zone": "metter-hall",
         "region": "coastal-plain",
@@ -40,10 +40,9 @@
 
 
 def test_daemon_that_starts_while_the_log_is_away_serves(tmp_path):
-    # Callers would find fewer and fewer hosts. The log is out for long, and
-    # hosts are replaced meanwhile; each new one has nothing to read the
-    # accepted documents from but the daemons that still run, one of which
-    # has been paused and answers nobody.
+    # Hosts are replaced during a long outage of the log. A new one can get the
+    # accepted documents only from running daemons, one of which is paused and
+    # does not respond. Otherwise ever fewer hosts would serve callers.
     with processes.running() as started:
         cluster = scene.Scene(started=started, directory=tmp_path)
         engine = started.standin("engine", "--speed", "4")
@@ -66,8 +65,9 @@
 
 
 def test_loads_of_a_killed_daemon_are_forgotten(tmp_path):
-    # An engine would look busy for good and be passed over. The daemon that
-    # had told of its work there was killed before it could say otherwise.
+    # A daemon that reported work at an engine is killed before it reports its
+    # end. If the report did not expire, the engine would seem busy permanently
+    # and get less work.
     with processes.running() as started:
         cluster = scene.Scene(started=started, directory=tmp_path)
         engine = started.standin("engine", "--step-s", "0.1")
--- a/packages/bulrushgrade_daemon/tests/test_failures_rolechange.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_rolechange.py
@@ -1,4 +1,4 @@
-"""An engine changes its role under load, and no caller may notice."""
+"""Role changes under load must not affect callers."""
 
 import callerload
 import control
@@ -16,10 +16,10 @@
 
 
 def test_role_change_under_load_cuts_no_answer(cluster):
-    # A holder dies after it announced a change of role; the next one gives
-    # the order to an engine that is in the middle of answers, while two hosts
-    # go on placing by what they last knew of it. A caller would see a cut
-    # answer, or a refusal though two other engines serve.
+    # A holder crashes after it wrote the intent of a role change. The next one
+    # sends the order to an engine that is generating answers, while two hosts
+    # place work by its last report. A caller must see neither a truncated
+    # answer nor a refusal, as two other engines serve.
     options = ("--change-s", "0.5", "--slots", "8")
     engines = [cluster.started.standin("engine", *options) for _ in range(3)]
     addresses = [engine.address for engine in engines]
--- a/packages/bulrushgrade_daemon/tests/test_failures_together.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_together.py
@@ -1,4 +1,4 @@
-"""Two failures at once, with real processes."""
+"""Combinations of two failures, with real processes."""
 
 import re
 import signal
@@ -11,7 +11,7 @@
 
 from bulrushgrade import publication
 
-# Ordered in place of a role: the engine goes on to serve any request.
+# Orders change adapters instead of roles, so the engine can serve any request.
 _ADAPTERS = ("fir",)
 
 
@@ -22,7 +22,7 @@
 
 
 def _start(cluster, count, *options):
-    """Starts daemons and an engine; returns both once a holder acts."""
+    """Starts daemons and an engine; returns once a daemon holds the lease."""
     engine = cluster.started.standin("engine", *options)
     daemons = [cluster.start_daemon() for _ in range(count)]
     cluster.list_hosts(daemons, [engine.address])
@@ -41,11 +41,11 @@
 
 
 def test_holder_frozen_while_the_log_is_away(cluster):
-    # The log goes out in the middle of an order and the holder freezes. The
-    # other can't take over either, and callers need the engine, which is
-    # through with its change, for as long as nobody can put that down. The
-    # log is back first, so the next one does, and ends the order; then the
-    # first wakes, with a lease, an order and an answer all of the past.
+    # During an order the log becomes unavailable and the holder is paused. The
+    # other daemon can't take over, but must use the engine, which completes
+    # its change, although nobody can record that. When the log is back, the
+    # other daemon takes over and ends the order. Then the first resumes with
+    # an expired lease, an old order and an old response.
     engine, first, (second,) = _start(
         cluster, 2, "--overlap", "--change-s", "1"
     )
@@ -70,9 +70,9 @@
 
 
 def test_daemon_killed_during_a_change_whose_engine_crashes(cluster):
-    # An engine dies in the middle of a change, and so does the daemon that
-    # ordered it. The engine comes back in its old role and has forgotten the
-    # order; the next holder finds it on the log and gives it again.
+    # An engine crashes during a change, and so does the daemon that ordered
+    # it. The engine restarts in its old role and has lost the order; the next
+    # holder must find it on the log and send it again.
     engine, first, (second,) = _start(cluster, 2, "--change-s", "1")
     scene.fault(engine, crash_changes=1, down_s=0.5)
     term = control.read_group(first)["term"]
@@ -100,7 +100,7 @@
 
 
 def _start_race(cluster, tmp_path, name, base, text):
-    """Two operators edit the same revision at the same time."""
+    """Starts two publishes of the same base revision at the same time."""
     commands = []
     for number in range(2):
         file = tmp_path / f"{name}-{number}.ini"
@@ -115,9 +115,9 @@
 
 
 def test_rolling_restart_during_a_publish_race(cluster, tmp_path):
-    # Hosts are replaced one by one while operators race to publish. Each
-    # race has one winner, no host goes back to what was replaced, and what
-    # the new hosts start with is what all others have.
+    # Hosts are replaced one by one while operators publish concurrently. Of two
+    # publishes one must be accepted, no host may revert to a replaced revision,
+    # and new hosts must start with the documents of all others.
     engine, holder, others = _start(cluster, 2)
     daemons = [holder, *others]
     body = cluster.read(publication.STREAM)[1]["body"]
@@ -151,9 +151,9 @@
 
 
 def test_appends_at_rest_and_in_failover(cluster):
-    # The log takes a few hundred appends a second from all hosts together.
-    # A group at rest costs its renewals, and a loss of the holder one claim
-    # more and what its orders need, not a burst of every candidate.
+    # The log accepts a few hundred appends a second from all hosts together. An
+    # idle group must append only its renewals, and a failover one or two claims
+    # plus the records of its orders, not a burst from every candidate.
     _, first, (second,) = _start(cluster, 2)
     start_s = time.monotonic()
     before = _count_appends(cluster)
--- a/packages/bulrushgrade_daemon/tests/test_group.py
+++ b/packages/bulrushgrade_daemon/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Tests of one group's turns, with a tracker of orders that is made up."""
+"""Tests of the control of one group, with a fake order tracker."""
 
 import types
 
@@ -66,8 +66,9 @@
 
 
 def test_engine_left_draining_by_a_lost_holder_returns_to_service():
-    # A group stays one engine short: its holder asked an engine to drain for
-    # a change of role and died before the order, so nothing ends the drain.
+    # A holder asks an engine to drain for a role change and crashes before it
+    # gives the order. Nothing else would end the drain, and the group would
+    # lack one engine permanently.
     made, tracker, appended = _group([ADDRESS])
     made.tick(1.0)
     made.tick(group.UNORDERED_DRAIN_TIMEOUT_S)
--- a/packages/bulrushgrade_daemon/tests/test_peers.py
+++ b/packages/bulrushgrade_daemon/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the peers service, with its real sockets on loopback."""
+"""Tests of the peers service with real sockets on the loopback interface."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 class Timers(timer.Timers):
-    """Timers as a service, moved on by the node."""
+    """Timers as a service, driven by the reactor's clock."""
 
     name = "timer"
     requires = ()
@@ -50,7 +50,7 @@
 
 
 class Node:
-    """One daemon's peers service with what it needs around it."""
+    """The peers service of one daemon with the services that it needs."""
 
     def __init__(
         self,
@@ -115,7 +115,7 @@
 
 
 class LossyProxy(protocol.Protocol):
-    """Passes bytes between a peer and a daemon until told to lose them."""
+    """Relays bytes between a peer and a daemon; drops them once `lost`."""
 
     def connectionMade(self):  # noqa: N802
         self.factory.links.append(self)
@@ -145,7 +145,7 @@
 
 
 class PeersTest(unittest.TestCase):
-    """Nodes in one process."""
+    """Tests with several nodes in one process."""
 
     timeout = 30
 
@@ -172,7 +172,7 @@
         return one, two
 
     async def wait_for(self, condition, each_turn=lambda: None):
-        """Waits until a condition holds; the test's timeout bounds it."""
+        """Waits until a condition holds, at most until the test times out."""
         while not condition():
             each_turn()
             await task.deferLater(reactor, 0.01, lambda: None)
@@ -218,9 +218,9 @@
         await self.wait_for(lambda: not two.peers.find_unconfirmed("e1"))
 
     async def test_daemon_that_is_not_listed_gets_a_snapshot(self):
-        # A daemon starts before the host list shows it. Its peers drop its
-        # loads, as from anyone unlisted, but must answer its request, or it
-        # would not become ready until the list catches up.
+        # A daemon starts before the host list has it. Its peers drop its loads,
+        # as those of any unlisted sender, but must answer its request, or it
+        # would not become ready until the list has it.
         old, new = await self.make_node(), await self.make_node(seed=2)
         new.set_peers(old.address)
         new.peers.receive(peermessages.AskSnapshot())
@@ -238,9 +238,8 @@
         self.assertEqual(old.received_loads, [])
 
     async def test_replaced_peer_receives_no_old_loads(self):
-        # Placement would avoid idle engines after a peer came back. It was
-        # away for a while, its loads queued up here, and all of them reached
-        # the new process in order, the oldest first.
+        # Loads queue up for a peer that is down. If its new process received
+        # them all, the oldest first, its placement would avoid idle engines.
         one, two = await self.make_pair()
         await self.wait_for(lambda: two.received_loads)
         listen = keys.parse_address(two.address)
@@ -253,9 +252,9 @@
         self.assertEqual(again.received_loads[0][1], one.loads)
 
     async def test_connection_that_went_silent_is_replaced(self):
-        # A peer's loads would be missing for good. A firewall between the two
-        # forgot their connection: bytes vanish without an error, while a new
-        # connection passes. Heartbeats go unanswered, and ZeroMQ reconnects.
+        # A firewall drops the state of a connection: bytes are lost without an
+        # error, while a new connection works. Without heartbeats, which make
+        # ZeroMQ reconnect, the peer's loads would be missing permanently.
         self.patch(peersocket, "HEARTBEAT_INTERVAL_S", 0.1)
         self.patch(peersocket, "HEARTBEAT_TIMEOUT_S", 0.3)
         one, two = await self.make_node(), await self.make_node(seed=2)
@@ -286,19 +285,19 @@
         )
         message = peerview.make_loads(header, LOADS)
         size = len(peerview.serialize_message(message))
-        # The burst of 2 s, what came in since, and one round of overdraft;
-        # the numbers in a header are up to 18 characters shorter.
+        # The burst of 2 s, the allowance since then and one round of overdraft;
+        # the numbers in real headers are up to 18 characters shorter.
         allowed = 300.0 * (peers.BURST_S + spent_s) + size
         self.assertLessEqual(8 * (size - 18), allowed)
         self.assertGreater(one.count("loads_paced"), 0)
-        # Withdrawn endpoints are told whatever the allowance.
+        # Withdrawn endpoints are sent regardless of the allowance.
         one.withdraw("e1")
         await self.wait_for(lambda: not two.peers.find_unconfirmed("e1"))
 
     async def test_peer_that_reads_nothing_costs_a_bounded_queue(self):
-        # The daemon's memory would grow until it is killed. A peer is alive
-        # to the network but takes nothing, and loads pile up for it; the
-        # other peers must still be told.
+        # A peer keeps its connection open but reads nothing. Without a bounded
+        # queue the loads for it would use memory until the daemon is killed.
+        # Other peers must still receive theirs.
         context = zmq.Context()
         stalled = context.socket(zmq.ROUTER)
         stalled.setsockopt(zmq.RCVHWM, 1)
--- a/packages/bulrushgrade_daemon/tests/test_settings.py
+++ b/packages/bulrushgrade_daemon/tests/test_settings.py
@@ -43,8 +43,8 @@
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*.ini")), ids=str)
 def test_example_parses_and_survives_a_round_trip(path):
     read = settings.read_settings(str(path)).unwrap()
-    # One group, of all the region's engines: in a zone there are one or two,
-    # and none of those could give up its role.
+    # One group with all engines of the region: a zone has only one or two, none
+    # of which could change its role.
     (group,) = read.authority.groups
     assert group.endswith(f".{read.host.region}")
     text = settings.serialize_settings(read)
