--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -1,4 +1,4 @@
-"""Puts the services of one daemon together."""
+"""Assembles the services of one daemon."""
 
 import random
 import secrets
@@ -18,7 +18,7 @@
 from bulrushgrade_daemon import clock
 from bulrushgrade_daemon import documents
 from bulrushgrade_daemon import engine
-from bulrushgrade_daemon import fleet
+from bulrushgrade_daemon import enginepoller
 from bulrushgrade_daemon import hostlist
 from bulrushgrade_daemon import logclient
 from bulrushgrade_daemon import logwriter
@@ -34,8 +34,8 @@
 from bulrushgrade_daemon import settings as settings_module
 
 INCARNATION_BYTES = 4
-# The services whose own counts are shown as metrics, and what they count.
-_COUNTED = {
+# The services whose counters are exported as metrics, with their help texts.
+_COUNTER_HELP = {
     "callers": "Requests of callers.",
     "relay": "Model requests by how they went.",
     "plainrelay": "Requests for plain services by how they went.",
@@ -49,12 +49,12 @@
 
 @attrs.frozen(kw_only=True)
 class Daemon:
-    """A daemon that has been put together.
+    """An assembled daemon.
 
     Attributes:
         kernel: Starts, stops and dumps its services.
-        callers: Its address for callers.
-        admin: Its address for operators.
+        callers: The service that accepts requests of callers.
+        admin: The service that operators query.
     """
 
     kernel: kernel_module.Kernel
@@ -76,7 +76,8 @@
         reactor: The reactor that it runs in.
         on_broken: Called with the reason when an invariant is broken; must
             stop the process.
-        rng: Source of every random choice; seeded by the system by default.
+        rng: Source of every random choice; by default seeded by the operating
+            system.
     """
     rng = rng or random.Random(secrets.randbits(64))
     kernel = kernel_module.Kernel(
@@ -90,7 +91,7 @@
 
 
 class _Builder:
-    """Makes the services in order and registers them."""
+    """Creates the services in order of dependency and registers them."""
 
     def __init__(self, *, settings, reactor, kernel, rng):
         self._settings = settings
@@ -148,7 +149,7 @@
             placing.Placing(timers=self._timers, core=self._core)
         )
         self._add(
-            fleet.Fleet(
+            enginepoller.EnginePoller(
                 timers=self._timers,
                 engines=self._engines,
                 kernel=self._kernel,
@@ -188,7 +189,7 @@
             relay=model_relay,
             plain=plain_relay,
             service_index=lambda: self._documents.service_index,
-            ready=self._not_ready,
+            ready=self._find_not_ready_reason,
             on_broken=self._kernel.fail,
         )
         self._front = self._add(
@@ -202,30 +203,30 @@
         return self._front
 
     def _make_meters(self) -> relay.Meters:
-        found = self._kernel.find("metrics")
+        metrics_service = self._kernel.find("metrics")
         return relay.Meters(
-            first_token=found.histogram(
+            first_token=metrics_service.histogram(
                 "first_token_seconds", "From arrival to the first token."
             ),
-            whole_answer=found.histogram(
+            whole_answer=metrics_service.histogram(
                 "whole_answer_seconds", "From arrival to the whole answer."
             ),
         )
 
     def _add_counts(self) -> None:
-        found = self._kernel.find("metrics")
-        for name, doc in _COUNTED.items():
+        metrics_service = self._kernel.find("metrics")
+        for name, doc in _COUNTER_HELP.items():
             service = self._kernel.find(name)
-            found.add_counts(
+            metrics_service.add_counts(
                 f"{name}_total", doc, lambda owner=service: owner.counts
             )
         callers_service = self._kernel.find("callers")
-        found.gauge(
+        metrics_service.gauge(
             "open_requests",
             "Requests that are open.",
             read=lambda: callers_service.open_requests,
         )
-        found.gauge(
+        metrics_service.gauge(
             "log_reachable",
             "1 while the log service answers.",
             read=lambda: int(self._log.reachable),
@@ -294,8 +295,8 @@
             timers=self._timers,
             log=self._log,
             writer=self._writer,
-            place=self._placing,
-            ties=self._mesh,
+            placement=self._placing,
+            host_mesh=self._mesh,
             orders=order_client,
             capacity=self._core.capacity,
             demands=self._core.demand,
@@ -323,8 +324,8 @@
         self._kernel.send("placing", message)
 
     def _on_snapshot_request(self, reply_to: bytes) -> None:
-        # A host that is not ready itself would hand on what it can't vouch
-        # for; others will answer.
+        # The documents of a host that is not ready may be incomplete; other
+        # peers answer instead.
         if self._documents.service_index is None:
             return
         answer = peermessages.AnswerSnapshot(
@@ -341,7 +342,7 @@
         self._placing.set_policies(service_index.policies())
         self._kernel.send("authority", service_index)
 
-    def _not_ready(self) -> str | None:
-        if self._documents.not_ready is not None:
-            return self._documents.not_ready
+    def _find_not_ready_reason(self) -> str | None:
+        if self._documents.not_ready_reason is not None:
+            return self._documents.not_ready_reason
         return None if self._hosts.known else "no host list has been read"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/mesh.py
@@ -1,8 +1,8 @@
-"""Ties this host to endpoints and peers, by the host list.
+"""Selects the endpoints and peers of this host from the host list.
 
-Nothing is sent to all at the target's size: a host places work only on the
-endpoints that it is tied to, and hears loads only from hosts that share one
-of them. At today's size the ties come out as the full mesh.
+At the target size no state is broadcast to every host: a host places work
+only on the endpoints that it is connected to, and receives loads only from
+hosts that share one of them. At today's size the selection is a full mesh.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Mesh:
-    """Works out the ties again with each host list."""
+    """Selects endpoints and peers again with each host list."""
 
     name = "mesh"
     requires = ("hostlist", "peers", "placing", "fleet", "documents")
@@ -32,7 +32,7 @@
         """Makes the service.
 
         Args:
-            kernel: Passes on the lists and the peers.
+            kernel: Passes the selection to other services.
             zone: This host's availability zone.
             region: The region of that zone.
             own_address: Returns the address for callers.
@@ -45,16 +45,16 @@
         self._own_peer_address = own_peer_address
         self._subsets = subset.EndpointSubsets()
         self._hosts: tuple[membership.Host, ...] = ()
-        self._tied: frozenset[str] = frozenset()
+        self._connected: frozenset[str] = frozenset()
 
     @property
     def hosts(self) -> tuple[membership.Host, ...]:
-        """The listed hosts, this one included in any case."""
+        """The hosts on the host list, always including this one."""
         return self._hosts
 
     @property
-    def own(self) -> str:
-        """This host's address as the list shows it."""
+    def listed_address(self) -> str:
+        """This host's address on the host list."""
         peer = self._own_peer_address()
         for host in self._hosts:
             if host.peer == peer:
@@ -62,49 +62,52 @@
         return self._own_address()
 
     async def start(self) -> None:
-        """Needs nothing opened."""
+        """Does nothing: the host list arrives as a message."""
 
     async def stop(self) -> None:
-        """Has nothing open."""
+        """Does nothing: no resources are open."""
 
     def receive(self, message: Any) -> None:
-        """Takes lists of hosts."""
+        """Handles new host lists."""
         if isinstance(message, membership.HostList):
-            self._take(message)
+            self._update(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the endpoints that this host is tied to."""
-        return {"own": self.own, "tied": sorted(self._tied)}
+        """Returns the endpoints that this host is connected to."""
+        return {"own": self.listed_address, "tied": sorted(self._connected)}
 
-    def _take(self, message: membership.HostList) -> None:
+    def _update(self, message: membership.HostList) -> None:
         hosts = message.hosts
         peer = self._own_peer_address()
         if not any(host.peer == peer for host in hosts):
-            # The list lags behind a host that has just started, or that the
-            # list service has lost sight of. It serves what the balancer
-            # sends all the same, so it needs ties of its own.
-            hosts = (*hosts, self._make_own())
+            # The list lacks a host that has just started or that the list
+            # service has lost. The load balancer still sends requests to it,
+            # so it needs endpoints too.
+            hosts = (*hosts, self._make_own_host())
         self._hosts = hosts
         self._subsets.update(hosts)
-        self._tied = self._subsets.get_endpoints(self.own)
-        tied = membership.HostList(
+        self._connected = self._subsets.get_endpoints(self.listed_address)
+        connected_list = membership.HostList(
             version=message.version,
-            hosts=tuple(h for h in hosts if h.address in self._tied),
+            hosts=tuple(h for h in hosts if h.address in self._connected),
         )
         for name in ("placing", "fleet"):
-            self._kernel.send(name, tied)
+            self._kernel.send(name, connected_list)
         live = tuple(
             host.address
             for host in membership.select_live(hosts)
             if host.kind is membership.Kind.ENTRY
         )
         self._kernel.send(
-            "documents", documents.Daemons(own=self.own, live=live)
+            "documents",
+            documents.LiveDaemons(own_address=self.listed_address, live=live),
+        )
+        peers = peermessages.list_peers(
+            self._subsets, hosts, self.listed_address
         )
-        peers = peermessages.list_peers(self._subsets, hosts, self.own)
         self._kernel.send("peers", peermessages.SetPeers(peers=peers))
 
-    def _make_own(self) -> membership.Host:
+    def _make_own_host(self) -> membership.Host:
         return membership.Host(
             address=self._own_address(),
             kind=membership.Kind.ENTRY,
--- a/packages/bulrushgrade_daemon/tests/test_failures_documents.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_documents.py
@@ -1,4 +1,4 @@
-"""Documents that race, get lost, or ask too much, with real processes."""
+"""Concurrent, lost and invalid publishes, with real processes."""
 
 import re
 import signal
@@ -12,38 +12,38 @@
 from bulrushgrade import document
 from bulrushgrade import publication
 
-# Long enough for a starting command, a lost answer and the limit of the
-# publisher's search together.
+# Allows for the start of a command, a lost response and the time limit of the
+# publisher's search for its record, together.
 _COMMAND_LIMIT_S = 60.0
 _IN_FORCE_LIMIT_S = 6.0
 
 
 @pytest.fixture
-def world(tmp_path):
+def cluster(tmp_path):
     with processes.running() as started:
-        yield control.World(started=started, directory=tmp_path)
+        yield control.Cluster(started=started, directory=tmp_path)
 
 
-def _start(world, count):
-    engine = world.started.standin("engine", "--speed", "4")
-    daemons = [world.start_daemon() for _ in range(count)]
-    world.list_hosts(daemons, [engine.address])
+def _start(cluster, count):
+    engine = cluster.started.standin("engine", "--speed", "4")
+    daemons = [cluster.start_daemon() for _ in range(count)]
+    cluster.list_hosts(daemons, [engine.address])
     for daemon in daemons:
         scene.wait_ready(daemon, engines=1)
     return engine.address, daemons
 
 
-def _read_text(world, service):
+def _read_text(cluster, service):
     """Returns the text of the first publish of a service."""
-    for item in world.read(publication.STREAM):
+    for item in cluster.read(publication.STREAM):
         found = publication.parse_message(item["body"].encode()).unwrap()
         if found.service == service:
             return found.text
     raise AssertionError(service)
 
 
-def _vary(text, seconds):
-    """Returns the assistant's text with another deadline."""
+def _with_deadline(text, seconds):
+    """Returns the assistant's document with another deadline."""
     changed = re.sub(
         r"(?m)^whole_answer_s = \d\d$", f"whole_answer_s = {seconds}", text
     )
@@ -68,8 +68,8 @@
     return str(file)
 
 
-def _read_history(world, service):
-    command = world.start_command("history", service, "--json")
+def _read_history(cluster, service):
+    command = cluster.start_command("history", service, "--json")
     return control.finish(command, _COMMAND_LIMIT_S).json["verdicts"]
 
 
@@ -80,22 +80,24 @@
         scene.assert_whole(answers, 5)
 
 
-def test_in_force_on_every_host_within_seconds(world):
-    # A team publishes, and expects every host to go by it a few seconds
-    # later, also while hosts come and go.
-    engine, daemons = _start(world, 3)
-    text = _read_text(world, "assistant")
+def test_in_force_on_every_host_within_seconds(cluster):
+    # Every host must apply a published document within a few seconds, also
+    # while hosts crash and start.
+    engine, daemons = _start(cluster, 3)
+    text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
     taken = []
     for number in range(30):
         if number == 10:
             daemons.pop().send(signal.SIGKILL)
         if number == 20:
-            daemons.append(world.start_daemon())
-            world.list_hosts(daemons, [engine])
+            daemons.append(cluster.start_daemon())
+            cluster.list_hosts(daemons, [engine])
             scene.wait_ready(daemons[-1])
         start_s = time.monotonic()
-        base = world.publish("assistant", _vary(text, 30 + number), base=base)
+        base = cluster.publish(
+            "assistant", _with_deadline(text, 30 + number), base=base
+        )
         _wait_revision(daemons, "assistant", base)
         taken.append(time.monotonic() - start_s)
     taken.sort()
@@ -103,24 +105,26 @@
     assert taken[-1] < _IN_FORCE_LIMIT_S
 
 
-def test_race_of_publishers(world, tmp_path):
+def test_race_of_publishers(cluster, tmp_path):
     # Four operators of one team edit the same revision, and one of another
-    # team publishes a document under that service's name. One wins, the
-    # others are told what beat them, and all hosts agree.
-    _, daemons = _start(world, 2)
-    text = _read_text(world, "assistant")
+    # team publishes a document under that service's name. One of the edits is
+    # accepted, the others fail with its revision, and all hosts agree.
+    _, daemons = _start(cluster, 2)
+    text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
-    stolen = _vary(text, 39).replace("team = operators", "team = strangers")
-    texts = [_vary(text, 31 + number) for number in range(4)]
+    foreign = _with_deadline(text, 39).replace(
+        "team = operators", "team = strangers"
+    )
+    texts = [_with_deadline(text, 31 + number) for number in range(4)]
     commands = [
-        world.start_command(
+        cluster.start_command(
             "publish",
             _write(tmp_path, f"edit-{number}", each),
             "--base",
             str(base),
             "--json",
         )
-        for number, each in enumerate([*texts, stolen])
+        for number, each in enumerate([*texts, foreign])
     ]
     ends = [control.finish(each, _COMMAND_LIMIT_S) for each in commands]
     assert sorted(end.code for end in ends) == [0, 1, 1, 1, 1]
@@ -134,15 +138,15 @@
     _assert_serves(daemons, "race")
 
 
-def test_race_on_the_log_itself(world):
-    # Two operators' records for one revision stand on the log one after the
-    # other: each had looked before the other wrote, so no check of a command
-    # line could see it. The second must not undo the first one's change.
-    _, daemons = _start(world, 2)
-    text = _read_text(world, "assistant")
+def test_race_on_the_log_itself(cluster):
+    # Two operators' publishes of the same base revision are on the log. Each
+    # command checked the revision before the other wrote, so neither could
+    # detect the conflict. The second must not undo the first one's change.
+    _, daemons = _start(cluster, 2)
+    text = _read_text(cluster, "assistant")
     base = _revision(daemons[0], "assistant")
     first, second = (
-        world.publish("assistant", _vary(text, seconds), base=base)
+        cluster.publish("assistant", _with_deadline(text, seconds), base=base)
         for seconds in (41, 42)
     )
     _wait_revision(daemons, "assistant", first)
@@ -155,27 +159,27 @@
         assert _revision(daemon, "assistant") == first
 
 
-def test_bad_and_greedy_documents_harm_nobody(world):
-    # A new team publishes what can't be read, what is far too long, and then
-    # a share that the fleet can't honour beside the one already promised.
-    # The others' documents stay in force, and their callers notice nothing.
-    _, daemons = _start(world, 2)
-    fleet = _read_text(world, document.FLEET)
+def test_invalid_and_oversubscribed_documents_change_nothing(cluster):
+    # A new team publishes an unreadable document, one that is too long, and one
+    # whose guaranteed share doesn't fit beside those already accepted. The
+    # accepted documents must stay unchanged and their callers unaffected.
+    _, daemons = _start(cluster, 2)
+    fleet = _read_text(cluster, document.FLEET)
     fleet += "\n[team readers]\nservices = browser\n"
     base = _revision(daemons[0], document.FLEET)
     _wait_revision(
         daemons,
         document.FLEET,
-        world.publish(document.FLEET, fleet, base=base),
+        cluster.publish(document.FLEET, fleet, base=base),
     )
     before = control.dump(daemons[0], "documents")["accepted"]
-    greedy = _read_text(world, "assistant")
-    greedy = greedy.replace("= assistant", "= browser")
-    greedy = greedy.replace("= operators", "= readers")
-    for text in ("[document", "x" * 200_000, greedy):
-        world.publish("browser", text, team="readers")
-    world.append(publication.STREAM, b"\x7b nonsense")
-    end = world.append(publication.STREAM, b'{"kind": "Publish", "data": 1}')
+    oversubscribed = _read_text(cluster, "assistant")
+    oversubscribed = oversubscribed.replace("= assistant", "= browser")
+    oversubscribed = oversubscribed.replace("= operators", "= readers")
+    for text in ("[document", "x" * 200_000, oversubscribed):
+        cluster.publish("browser", text, team="readers")
+    cluster.append(publication.STREAM, b"\x7b nonsense")
+    end = cluster.append(publication.STREAM, b'{"kind": "Publish", "data": 1}')
     for daemon in daemons:
         processes.wait_for(
             lambda d=daemon: (
@@ -183,49 +187,49 @@
             )
         )
         assert control.dump(daemon, "documents")["accepted"] == before
-    codes = [each["code"] for each in _read_history(world, "browser")]
+    codes = [each["code"] for each in _read_history(cluster, "browser")]
     assert codes == ["bad_document", "bad_document", "shares_do_not_fit"]
     _assert_serves(daemons, "greedy")
-    # What is right goes through behind all that.
-    modest = greedy.replace("fraction = 0.9", "fraction = 0.1")
-    good = world.publish("browser", modest, team="readers")
+    # A valid document is accepted after all of these.
+    fitting = oversubscribed.replace("fraction = 0.9", "fraction = 0.1")
+    good = cluster.publish("browser", fitting, team="readers")
     _wait_revision(daemons, "browser", good)
 
 
-def _start_lost_publish(world, tmp_path, text):
-    """Publishes over a link that goes silent once the log has the record."""
-    link = world.started.standin("link", world.log)
+def _start_lost_publish(cluster, tmp_path, text):
+    """Publishes over a link that goes silent once the record is stored."""
+    link = cluster.started.standin("link", cluster.log)
     scene.fault(link.ready["admin"], delay_s=0.4)
-    end = len(world.read(publication.STREAM))
+    end = len(cluster.read(publication.STREAM))
     file = _write(tmp_path, "lost", text)
-    command = world.start_command("publish", file, "--json", log=link.address)
-    processes.wait_for(lambda: len(world.read(publication.STREAM)) > end)
+    command = cluster.start_command("publish", file, "--json", log=link.address)
+    processes.wait_for(lambda: len(cluster.read(publication.STREAM)) > end)
     scene.fault(link.ready["admin"], silent=True)
     return command, file
 
 
-def test_lost_answer_and_trimmed_log(world, tmp_path):
-    # An operator's network fails while the log takes the document. The
-    # command can't know, and says so with 3; the history tells, and to
-    # publish again does no harm. Meanwhile the log has trimmed all that the
-    # documents were accepted by, and every host is restarted: from the
-    # checkpoint that one of them wrote they come back with what was in force.
-    engine, daemons = _start(world, 2)
-    text = _vary(_read_text(world, "assistant"), 44)
-    command, file = _start_lost_publish(world, tmp_path, text)
-    noted = control.dump
+def test_lost_answer_and_trimmed_log(cluster, tmp_path):
+    # An operator's network fails while the log stores the document. The command
+    # can't know the outcome and exits with 3; the history shows it, and
+    # publishing again changes nothing. Then the log trims all publishes and
+    # every host is restarted: a checkpoint that one of them wrote must restore
+    # the accepted documents.
+    engine, daemons = _start(cluster, 2)
+    text = _with_deadline(_read_text(cluster, "assistant"), 44)
+    command, file = _start_lost_publish(cluster, tmp_path, text)
+    read_state = control.dump
     processes.wait_for(
-        lambda: all(noted(d, "documents")["checkpoint"] for d in daemons)
+        lambda: all(read_state(d, "documents")["checkpoint"] for d in daemons)
     )
     lost = control.finish(command, _COMMAND_LIMIT_S)
     assert lost.code == 3, lost
-    last = _read_history(world, "assistant")[-1]
+    last = _read_history(cluster, "assistant")[-1]
     assert last["code"] == "accepted"
-    end = len(world.read(publication.STREAM))
-    again = world.start_command("publish", file, "--json")
+    end = len(cluster.read(publication.STREAM))
+    again = cluster.start_command("publish", file, "--json")
     assert control.finish(again, _COMMAND_LIMIT_S).code == 0
-    assert len(world.read(publication.STREAM)) == end
-    before = noted(daemons[0], "documents")
+    assert len(cluster.read(publication.STREAM)) == end
+    before = read_state(daemons[0], "documents")
     assert before["accepted"]["assistant"]["revision"] == last["offset"]
     for daemon in daemons:
         daemon.send(signal.SIGKILL)
@@ -233,15 +237,15 @@
         "stream": publication.STREAM,
         "offset": before["checkpoint"]["first_offset"],
     }
-    assert processes.call("POST", world.log, "/trim", trim).code == 200
-    new = [world.start_daemon() for _ in range(2)]
-    world.list_hosts(new, [engine])
+    assert processes.call("POST", cluster.log, "/trim", trim).code == 200
+    new = [cluster.start_daemon() for _ in range(2)]
+    cluster.list_hosts(new, [engine])
     for daemon in new:
         scene.wait_ready(daemon, engines=1)
-        after = noted(daemon, "documents")
+        after = read_state(daemon, "documents")
         assert after["accepted"] == before["accepted"]
         assert after["digest"] == before["digest"]
     _assert_serves(new, "trimmed")
     base = last["offset"]
-    later = world.publish("assistant", _vary(text, 45), base=base)
+    later = cluster.publish("assistant", _with_deadline(text, 45), base=base)
     _wait_revision(new, "assistant", later)
