--- a/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
@@ -28,9 +28,9 @@
 )
 
 
-def _take_address(text: str, *, lowest_port: int = 1) -> str:
+def _take_address(text: str, *, min_port: int = 1) -> str:
     try:
-        return str(keys.parse_address(text, lowest_port=lowest_port))
+        return str(keys.parse_address(text, min_port=min_port))
     except ValueError as error:
         raise typer.BadParameter(
             f"{text!r}: {error}; expected IP:PORT"
@@ -38,7 +38,7 @@
 
 
 def _take_listen(text: str) -> str:
-    return _take_address(text, lowest_port=0)
+    return _take_address(text, min_port=0)
 
 
 Log = Annotated[
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
@@ -151,11 +151,11 @@
 def _build(reactor: Any, listen: str) -> _System:
     listeners = _serve(reactor)
     ended: defer.Deferred = defer.Deferred()
-    local = keys.parse_address(ANY_PORT, lowest_port=0)
+    local = keys.parse_address(ANY_PORT, min_port=0)
     settings = settings_module.Settings(
         host=settings_module.Host(name="demo", zone=ZONE, region=REGION),
         listen=settings_module.Listen(
-            callers=keys.parse_address(listen, lowest_port=0),
+            callers=keys.parse_address(listen, min_port=0),
             admin=local,
             peers=local,
         ),
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -299,7 +299,7 @@
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
     ) -> None:
-        def stored(result: logwriter.Stored) -> None:
+        def stored(result: logwriter.AppendResult) -> None:
             if isinstance(result, Failure) and isinstance(
                 result.failure(), logclient.NotStored
             ):
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
@@ -128,7 +128,7 @@
         else:
             outcome = sent.unwrap().value
             match sent.unwrap():
-                case operatorcalls.CallOutcome.TAKEN:
+                case operatorcalls.CallOutcome.ACCEPTED:
                     plan.record_acceptance(order)
                 case operatorcalls.CallOutcome.UNAVAILABLE:
                     plan.record_refusal(order, now)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/dialect.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/dialect.py
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Sending:
+class ForwardingInfo:
     """What the gateway adds to a request for an endpoint.
 
     Attributes:
@@ -122,7 +122,7 @@
     """
 
     read_request_info: Callable[[Any], RequestInfo]
-    write_fields: Callable[[Any, Sending], Fields]
+    write_fields: Callable[[Any, ForwardingInfo], Fields]
     read_verdict: Callable[[int, Any], Verdict]
     write_answer_fields: Callable[[Any], Fields]
     read_prefilled: Callable[[bytes], Prefilled | None]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
@@ -53,7 +53,7 @@
         prefilled: dialect_module.PrefilledBy | None,
     ) -> outbound.Answer | inflight.AttemptEnd:
         """Has an endpoint run a request; returns the head of its answer."""
-        sending = dialect_module.Sending(
+        forwarding = dialect_module.ForwardingInfo(
             endpoint=endpoint,
             left_s=0.0,
             last_event_id=request.splitter.last_id
@@ -62,7 +62,7 @@
             urgency=_urgency(request),
             fetch_from=None if prefilled else _fetch_address(request),
         )
-        sent = await self._send(request, sending)
+        sent = await self._send(request, forwarding)
         if isinstance(sent, inflight.AttemptEnd):
             return sent
         refusal = self._read_refusal(request, sent)
@@ -77,14 +77,14 @@
         engine: directory_module.Registration,
     ) -> dialect_module.PrefilledBy | inflight.AttemptEnd:
         """Has an engine read a prompt for the one that will generate."""
-        sending = dialect_module.Sending(
+        forwarding = dialect_module.ForwardingInfo(
             endpoint=engine,
             left_s=0.0,
             prefill_only=True,
             urgency=_urgency(request),
             fetch_from=_fetch_address(request),
         )
-        sent = await self._send(request, sending)
+        sent = await self._send(request, forwarding)
         if isinstance(sent, inflight.AttemptEnd):
             return _as_unread(sent)
         refusal = self._read_refusal(request, sent)
@@ -143,14 +143,16 @@
         )
 
     async def _send(
-        self, request: inflight.InFlight, sending: dialect_module.Sending
+        self,
+        request: inflight.InFlight,
+        forwarding: dialect_module.ForwardingInfo,
     ) -> outbound.Answer | inflight.AttemptEnd:
         def make() -> outbound.OutboundRequest:
             # The time that is left is told as of the write: opening the
             # connection has taken some of it.
             workspace = request.workspace
             timed = attrs.evolve(
-                sending,
+                forwarding,
                 left_s=request.left_s(self._now()),
                 workspace=workspace.name if workspace else None,
                 hides_key=request.hides_key,
@@ -167,8 +169,8 @@
 
         sent = await outbound.send(
             self._reactor,
-            sending.endpoint.host,
-            sending.endpoint.port,
+            forwarding.endpoint.host,
+            forwarding.endpoint.port,
             make,
             connect_timeout_s=CONNECT_TIMEOUT_S,
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
@@ -115,15 +115,15 @@
     def listen(
         self,
         take: Callable[[orderrecords.OrderRecord, int], None],
-        note_gap: Callable[[], None] = lambda: None,
+        on_gap: Callable[[], None] = lambda: None,
     ) -> None:
         """Has records that can be read passed on, own ones included.
 
         Args:
             take: Takes each record with its number, in their order.
-            note_gap: Called where records were dropped unread.
+            on_gap: Called where records were dropped unread.
         """
-        self._listeners.append((take, note_gap))
+        self._listeners.append((take, on_gap))
 
     async def perform(
         self,
@@ -193,8 +193,8 @@
         now = self._timers.now
         if first > self._turn.end:
             self._turn.skip_to(first, now=now)
-            for _, note_gap in self._listeners:
-                note_gap()
+            for _, on_gap in self._listeners:
+                on_gap()
         for place, content in enumerate(contents):
             record = orderrecords.parse(content)
             holder = None if record is None else record.holder
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -309,7 +309,7 @@
             if request.is_late:
                 self._count("late")
                 beliefs = self._work.describe(endpoint)
-                self._log.note_late(request, endpoint, beliefs)
+                self._log.log_late(request, endpoint, beliefs)
             stream.ended()
             ended(False)
 
@@ -347,7 +347,7 @@
             await self._crashes.settle(endpoint)
             request.avoid_zones = self._ledger.zones(request.fingerprint)
         again = self._may_try_again(request)
-        self._log.note_attempt(request, endpoint, ended, again=again)
+        self._log.log_attempt(request, endpoint, ended, again=again)
         return again
 
     def _may_try_again(self, request: inflight.InFlight) -> bool:
@@ -371,7 +371,7 @@
         """Ends a request that no endpoint answered."""
         step = attempts.final_step(request.history)
         self._count(f"ended_{step.value}")
-        self._log.note_ended(request, step, reason)
+        self._log.log_ended(request, step, reason)
         caller = request.caller
         if step is attempts.NextStep.CUT:
             caller.cut()
@@ -389,7 +389,7 @@
             self._count("ended_caller_left")
             return
         self._count("ended_timeout")
-        self._log.note_timed_out(request)
+        self._log.log_timed_out(request)
         if request.history.begun:
             request.caller.cut()
         else:
@@ -404,7 +404,7 @@
         the request itself is the cause, its next try would end another host.
         """
         self._count("ended_broken")
-        self._log.note_broken(request, traceback.format_exc())
+        self._log.log_broken(request, traceback.format_exc())
         if request is not None and request.history.begun:
             caller.cut()
         else:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
@@ -65,7 +65,7 @@
                 log=self._log,
                 rng=rng or random.Random(secrets.randbits(64)),
                 settings=lambda: self._settings,
-                stopping=lambda: self._stopping,
+                is_stopping=lambda: self._stopping,
                 ends_in_s=self._ends_in_s,
             )
         )
@@ -152,17 +152,17 @@
 
     def _add_pages(self, reactor: Any) -> None:
         services, listen = self._services, self._settings.listen
-        gatewaypages.add_counts(services, self._log)
+        gatewaypages.register_metrics(services, self._log)
         for name, address, find in (
             (
                 "ready",
                 listen.ready,
-                gatewaypages.show_ready(lambda: self.ready),
+                gatewaypages.make_ready_finder(lambda: self.ready),
             ),
             (
                 "admin",
                 listen.admin,
-                gatewaypages.show_admin(services.metrics, self._kernel),
+                gatewaypages.make_admin_finder(services.metrics, self._kernel),
             ),
         ):
             self._kernel.register(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
@@ -11,7 +11,7 @@
 from bulrushgrade_daemon import pages
 
 
-def show_ready(ready: Callable[[], bool]) -> Callable[[str], pages.Page]:
+def make_ready_finder(ready: Callable[[], bool]) -> Callable[[str], pages.Page]:
     """Returns the page that the balancer asks for."""
 
     def find(path: str) -> pages.Page:
@@ -22,7 +22,7 @@
     return find
 
 
-def show_admin(
+def make_admin_finder(
     found: metrics.Metrics, kernel: kernel_module.Kernel
 ) -> Callable[[str], pages.Page]:
     """Returns the pages for operators."""
@@ -40,7 +40,7 @@
     return find
 
 
-def add_counts(
+def register_metrics(
     services: gatewayservices.GatewayServices, log: decisionlog.DecisionLog
 ) -> None:
     """Shows what the services count as metrics."""
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -40,13 +40,13 @@
 from bulrushgrade_daemon import storetopics
 from bulrushgrade_daemon import storeview
 
-ENDPOINT_READS_A_BOUND = 2.2
+ENDPOINT_READS_PER_BOUND = 2.2
 """Reads of the endpoints' topic in a drain bound. Endpoints' heartbeats move
 the topic all the time, so a read that waits would return with each of them.
 One read that fails, with its time limit and the pause after it, still leaves
 the next within the bound."""
 
-WAITING_READS_A_BOUND = 1.4
+WAITING_READS_PER_BOUND = 1.4
 """Reads of the configuration, and of crashes, in their bounds when nothing
 changes. A read waits for a change and returns with it, and the host that read
 it notifies the others of its zone, so this only limits how long it takes to
@@ -65,12 +65,12 @@
 """Between two reads of the gateways' topic. Where all hosts start together,
 the record of each would otherwise end a read of every other one."""
 
-LEAST_HOSTS = 64
+MIN_HOSTS = 64
 """Hosts that the fixed part of the retry budget is divided by at least. The
 settings don't tell how many there are, and a host that has just started does
 not know its peers yet."""
 
-HOSTS_SPARED = 2
+HOST_HEADROOM_FACTOR = 2
 """Times the known hosts that it is divided by where those are many: room for
 as many that start at the same moment."""
 
@@ -104,7 +104,7 @@
     log: decisionlog.DecisionLog
     rng: random.Random
     settings: Callable[[], gatewaysettings.GatewaySettings]
-    stopping: Callable[[], bool]
+    is_stopping: Callable[[], bool]
     ends_in_s: Callable[[], float | None]
 
 
@@ -243,7 +243,7 @@
         self._follow_configuration = self._topics.follow(
             "configuration",
             context.adapter.configuration_reader,
-            wait_s=bounds.configuration_s / WAITING_READS_A_BOUND,
+            wait_s=bounds.configuration_s / WAITING_READS_PER_BOUND,
             pause_s=0.0,
             take=self._view.take_configuration,
             take_all=self._view.take_configuration,
@@ -254,7 +254,7 @@
             "endpoints",
             context.adapter.endpoint_reader,
             wait_s=0.0,
-            pause_s=bounds.drain_s / ENDPOINT_READS_A_BOUND,
+            pause_s=bounds.drain_s / ENDPOINT_READS_PER_BOUND,
             read_essence=self._view.read_essence,
             # Who orders engines about has to know that it reaches the store.
             must_read=lambda: self._gossip.fleet.is_first(),
@@ -304,7 +304,7 @@
         self._follow_crashes = self._topics.follow(
             "crashes",
             topic.reader,
-            wait_s=bounds.contact_s / WAITING_READS_A_BOUND,
+            wait_s=bounds.contact_s / WAITING_READS_PER_BOUND,
             pause_s=CRASHES_PAUSE_S,
             take=self._crash_sharing.take_records,
             take_all=self._crash_sharing.take_all,
@@ -355,7 +355,7 @@
             ),
             new_share=self._new_share,
             observe=self._observe_answer,
-            note_begun=lambda w, at: self._tasks.note_begun(w, at),
+            note_begun=lambda w, at: self._tasks.record_run_start(w, at),
         )
         self._front = front.Front(
             reactor=context.reactor,
@@ -423,7 +423,7 @@
             holder=self._own_name,
             actions=self._actions,
             control=context.adapter.engine_control,
-            leads=lambda: self._tasks.leads(),
+            leads=lambda: self._tasks.is_leader(),
             views=self._chooser.engine_views,
             announce=self._announce_stage,
             log=context.log,
@@ -480,7 +480,9 @@
 
     def _may_order(self) -> bool:
         """Returns whether this host could append to the topic of orders."""
-        return self._follow_endpoints.reaches and not self._context.stopping()
+        return (
+            self._follow_endpoints.reaches and not self._context.is_stopping()
+        )
 
     def _new_share(self) -> retryshare.RetryShare:
         bounds = self._context.settings().bounds
@@ -491,7 +493,7 @@
         )
 
     def _retry_extra(self) -> float:
-        hosts = max(LEAST_HOSTS, HOSTS_SPARED * self._link.known_hosts)
+        hosts = max(MIN_HOSTS, HOST_HEADROOM_FACTOR * self._link.known_hosts)
         return self._context.settings().bounds.retry_extra / hosts
 
     def _observe_answer(self, kind: str, took_s: float) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/keys.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/keys.py
@@ -48,7 +48,7 @@
     parse: Callable[[str], Any]
 
 
-def parse_address(text: str, *, lowest_port: int = 1) -> Address:
+def parse_address(text: str, *, min_port: int = 1) -> Address:
     """Returns the address in a text such as ``10.0.0.7:8080``.
 
     Host names are turned away: a lookup would make a daemon's start depend
@@ -56,7 +56,7 @@
 
     Args:
         text: IP:PORT, an IP of version 6 in brackets.
-        lowest_port: The smallest port that is allowed.
+        min_port: The smallest port that is allowed.
 
     Raises:
         ValueError: The text is no such address.
@@ -71,16 +71,16 @@
     if not (port_text.isascii() and port_text.isdigit()):
         raise ValueError("the port is not a number")
     port = int(port_text)
-    if not lowest_port <= port <= 65535:
+    if not min_port <= port <= 65535:
         raise ValueError("the port is out of range")
     return Address(host=host, port=port)
 
 
-def address(lowest_port: int) -> Kind:
+def address(min_port: int) -> Kind:
     """Returns the kind of an address whose port is at least this."""
     return Kind(
-        expected=f"IP:PORT with an IP number and a port {lowest_port} to 65535",
-        parse=lambda text: parse_address(text, lowest_port=lowest_port),
+        expected=f"IP:PORT with an IP number and a port {min_port} to 65535",
+        parse=lambda text: parse_address(text, min_port=min_port),
     )
 
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
@@ -17,9 +17,9 @@
 # keeps a request far below the log's limit of a second.
 MAX_BATCH = 100
 # Beyond this the log is not keeping up, and a caller is better told at once.
-MAX_WAITING = 1000
+MAX_PENDING = 1000
 
-Stored = Result[int, logclient.NotStored | logclient.OutcomeUnknown]
+AppendResult = Result[int, logclient.NotStored | logclient.OutcomeUnknown]
 
 
 @attrs.frozen(kw_only=True)
@@ -72,7 +72,7 @@
             Fires with its offset, or with what is known of a failure.
         """
         waiting = self._waiting.setdefault(append.stream, [])
-        if len(waiting) >= MAX_WAITING:
+        if len(waiting) >= MAX_PENDING:
             self._counts["overfull"] += 1
             reason = "too many records wait for the log"
             return defer.succeed(Failure(logclient.NotStored(reason=reason)))
@@ -102,7 +102,7 @@
         self._busy.discard(stream)
 
 
-def _pick(stored: Any, number: int) -> Stored:
+def _pick(stored: Any, number: int) -> AppendResult:
     if isinstance(stored, Failure):
         return stored
     return Success(stored.unwrap()[number])
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatorcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatorcalls.py
@@ -16,7 +16,7 @@
 class CallOutcome(enum.Enum):
     """What the operator's side says of a call."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     UNAVAILABLE = "none to be had"
     REJECTED = "rejected"
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
@@ -85,7 +85,7 @@
                 own_name=own_name,
                 actions=actions,
                 calls=calls,
-                leads=self.leads,
+                leads=self.is_leader,
                 views=self._capacity_views,
                 log=log,
                 on_broken=on_broken,
@@ -106,17 +106,17 @@
             for outcome, count in service.counts.items()
         }
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Returns whether this host is the one that orders engines about.
 
         Who reports usage does, so that hosts don't wait for each other's turn
         in the topic of orders.
         """
         if self._usage is not None:
-            return self._usage.reports_itself
+            return self._usage.is_reporter
         return self._gossip.leads()
 
-    def note_begun(
+    def record_run_start(
         self, workspace: workspaces.Workspace | None, at: float
     ) -> None:
         """Counts a request that an endpoint began to run.
@@ -126,7 +126,7 @@
             at: When, by the steady clock.
         """
         if self._usage is not None:
-            self._usage.note_begun(workspace, at)
+            self._usage.record_run_start(workspace, at)
 
     def receive(
         self,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
@@ -62,7 +62,7 @@
         table = self._table()
         if table is None:
             self._count("refused_unconfigured")
-            self._log.note_unconfigured(info)
+            self._log.log_unconfigured(info)
             self._refuse(caller, info)
             return None
         hostname = caller.requestHeaders.getRawHeaders(b"host", [b""])[0]
@@ -71,14 +71,14 @@
         if route is None:
             self._count("no_route")
             version = table.configuration.version
-            self._log.note_no_route(info, version, hostname, path)
+            self._log.log_no_route(info, version, hostname, path)
             caller.answer(http.NOT_FOUND, [], b"")
             return None
         workspace = _authenticate(info, table, route)
         if isinstance(workspace, workspaces.Denial):
             self._count("unauthorized")
             version = table.configuration.version
-            self._log.note_unauthorized(info, route, version, workspace)
+            self._log.log_unauthorized(info, route, version, workspace)
             challenge = self._dialect.challenge
             caller.answer(http.UNAUTHORIZED, challenge, b"")
             return None
@@ -87,7 +87,7 @@
         ends_in_s = self._ends_in_s()
         if ends_in_s is not None and waits_s > ends_in_s:
             self._count("refused_stopping")
-            self._log.note_stopping(info, route, ends_in_s)
+            self._log.log_stopping(info, route, ends_in_s)
             self._refuse(caller, info)
             return None
         request = inflight.InFlight(
@@ -112,7 +112,7 @@
             return False
         self._count("refused_quarantined")
         crashes = len(self._ledger.involvements(request.fingerprint))
-        self._log.note_quarantined(request, crashes, left_s)
+        self._log.log_quarantined(request, crashes, left_s)
         request.caller.refuse(left_s)
         return True
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
@@ -27,7 +27,7 @@
         self._log = log
         self._now = now
 
-    def note_unconfigured(self, info: dialect.RequestInfo) -> None:
+    def log_unconfigured(self, info: dialect.RequestInfo) -> None:
         """Writes that no configuration is known yet."""
         self._log.note(
             "request_refused",
@@ -35,7 +35,7 @@
             reason="no configuration yet",
         )
 
-    def note_stopping(
+    def log_stopping(
         self,
         info: dialect.RequestInfo,
         route: routing.Route,
@@ -50,7 +50,7 @@
             ends_in_s=round(ends_in_s, 3),
         )
 
-    def note_quarantined(
+    def log_quarantined(
         self, request: inflight.InFlight, crashes: int, left_s: float
     ) -> None:
         """Writes that endpoints crashed under a request and its repeats."""
@@ -64,7 +64,7 @@
             left_s=round(left_s),
         )
 
-    def note_no_route(
+    def log_no_route(
         self,
         info: dialect.RequestInfo,
         version: int,
@@ -80,7 +80,7 @@
             path=path,
         )
 
-    def note_unauthorized(
+    def log_unauthorized(
         self,
         info: dialect.RequestInfo,
         route: routing.Route,
@@ -97,7 +97,7 @@
             key_ids=sorted(map(workspaces.make_key_id, info.key_digests)),
         )
 
-    def note_attempt(
+    def log_attempt(
         self,
         request: inflight.InFlight,
         endpoint: directory.Registration,
@@ -127,7 +127,7 @@
             again=again,
         )
 
-    def note_ended(
+    def log_ended(
         self, request: inflight.InFlight, step: attempts.NextStep, reason: str
     ) -> None:
         """Writes that no endpoint answered a request."""
@@ -144,7 +144,7 @@
             took_s=round(self._now() - request.caller.arrived_at, 4),
         )
 
-    def note_late(
+    def log_late(
         self,
         request: inflight.InFlight,
         endpoint: directory.Registration,
@@ -172,9 +172,7 @@
             **beliefs,
         )
 
-    def note_broken(
-        self, request: inflight.InFlight | None, trace: str
-    ) -> None:
+    def log_broken(self, request: inflight.InFlight | None, trace: str) -> None:
         """Writes that a request's own task failed.
 
         Args:
@@ -189,7 +187,7 @@
             }
         self._log.note("request_broken", **fields, trace=trace)
 
-    def note_timed_out(self, request: inflight.InFlight) -> None:
+    def log_timed_out(self, request: inflight.InFlight) -> None:
         """Writes that a request's time was up."""
         self._log.note(
             "request_timed_out",
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
@@ -20,7 +20,7 @@
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import task
 
-TAKEN = "taken"
+ACCEPTED = "taken"
 UNANSWERED = "no answer"
 
 CHECK_PERIOD_S = 0.25
@@ -51,14 +51,14 @@
         stage: The role to take.
         holder: Who orders.
         number: The order's number, which only grows.
-        orders_before: Orders that the engine must have taken so far.
+        expected_orders: Orders that the engine must have taken so far.
     """
 
     engine: directory_module.Registration
     stage: directory_module.Stage
     holder: str
     number: int
-    orders_before: int
+    expected_orders: int
 
 
 @attrs.frozen(kw_only=True)
@@ -184,12 +184,12 @@
         finally:
             self._ordering = False
         now = self._timers.now
-        if outcome in (TAKEN, UNANSWERED):
+        if outcome in (ACCEPTED, UNANSWERED):
             # An order without an answer may still be carried out.
             plan.record_change(view, now)
         else:
             plan.record_refusal(change.engine.id, view, now)
-        if outcome == TAKEN:
+        if outcome == ACCEPTED:
             self._announce(change, view.change_s)
         self._log.note(
             "stage_order",
@@ -228,7 +228,7 @@
                 stage=change.stage,
                 holder=permit.holder,
                 number=permit.number,
-                orders_before=report.orders,
+                expected_orders=report.orders,
             )
             self._orders += 1
             return await self._control.order(order, permit.check)
@@ -240,4 +240,4 @@
             if is_written and failed.written:
                 return UNANSWERED
             return failed.reason
-        return TAKEN if sent.unwrap() else "refused"
+        return ACCEPTED if sent.unwrap() else "refused"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -35,15 +35,15 @@
 CHECK_PERIOD_S = 0.5
 """Between two comparisons of clocks, and two looks at what is due."""
 
-SEND_CHECKS = 2
+CHECKS_PER_SEND = 2
 """Checks between two times that counts are sent. What a daemon that is killed
 counted since the last time is lost."""
 
-SILENT_S = 3.5
+REPORTER_TIMEOUT_S = 3.5
 """After which one that reports and does not reply counts as gone: some replies
 get lost on bad links."""
 
-COLLECT_S = 1.6
+COLLECTION_S = 1.6
 """Before who has just begun to report adds up: all daemons send their counts
 anew, one that misses the notice a second later."""
 
@@ -138,7 +138,7 @@
         return dict(self._outcomes)
 
     @property
-    def reports_itself(self) -> bool:
+    def is_reporter(self) -> bool:
         """Whether this daemon is the one that reports."""
         reporter = self._reporter
         return reporter is not None and reporter.name == self._own_name
@@ -162,7 +162,7 @@
             **self.counts,
         }
 
-    def note_begun(
+    def record_run_start(
         self, workspace: workspaces.Workspace | None, at: float
     ) -> None:
         """Counts a request that an endpoint began to run.
@@ -199,10 +199,10 @@
         now = self._now
         self._meter.forget(now)
         self._reports.forget(now)
-        if self.reports_itself and not self._may_order():
+        if self.is_reporter and not self._may_order():
             self._reporter = None
         if self._find_reporter() != self._own_name:
-            if self._checks % SEND_CHECKS == 0:
+            if self._checks % CHECKS_PER_SEND == 0:
                 self._send_counts(now)
         elif self._may_order() and not self._acting:
             self._act(now)
@@ -215,7 +215,7 @@
         if reporter is None:
             return self._fleet.first_able()
         age_s = self._timers.now - reporter.heard_at
-        if reporter.name == self._own_name or age_s < SILENT_S:
+        if reporter.name == self._own_name or age_s < REPORTER_TIMEOUT_S:
             return reporter.name
         return self._fleet.first_able()
 
@@ -286,7 +286,7 @@
                 is_whole=one.is_whole,
             )
         ]
-        number = self._reporter.number if self.reports_itself else 0
+        number = self._reporter.number if self.is_reporter else 0
         self._send(
             message.peer,
             gatewaymessages.UsageTaken(
@@ -304,7 +304,7 @@
                 self._meter.counts(window),
                 is_whole=self._windows.is_settled(window, now),
             )
-        if not self.reports_itself:
+        if not self.is_reporter:
             work = self._begin()
         elif self._next_record() is not None:
             work = self._report()
@@ -316,7 +316,7 @@
     def _next_record(self) -> usagewindows.UsageRecord | None:
         """Returns what to report now, from all counts that can be had."""
         began_s = self._timers.now - self._began_at
-        if began_s < COLLECT_S:
+        if began_s < COLLECTION_S:
             return None
         return self._reports.next_record(self._now, self._fleet.there)
 
@@ -351,7 +351,7 @@
 
         async def make() -> usagewindows.UsageRecord | fencedactions.Withheld:
             nonlocal record
-            if not self.reports_itself:
+            if not self.is_reporter:
                 return fencedactions.Withheld(reason="another host reports")
             record = self._next_record()
             if record is None:
@@ -366,13 +366,13 @@
             outcome = sent.failure().reason
         else:
             outcome = sent.unwrap().value
-            if sent.unwrap() is operatorcalls.CallOutcome.TAKEN:
+            if sent.unwrap() is operatorcalls.CallOutcome.ACCEPTED:
                 self._reports.record_acceptance(record.window)
         self._outcomes[outcome] = self._outcomes.get(outcome, 0) + 1
         if record is None:
             return
         self._reports.record_attempt(record.window, self._now)
-        if self.reports_itself:
+        if self.is_reporter:
             self._announce()
         self._log.note(
             "usage_report",
--- a/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
+++ b/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
@@ -106,7 +106,7 @@
     scene.pump(3.0)
     (order,) = scene.sent
     assert (order.engine.id, order.stage) == ("d1", PREFILL)
-    assert (order.number, order.orders_before) == (17, 4)
+    assert (order.number, order.expected_orders) == (17, 4)
     (content, at) = scene.append.calls[0]
     record = orderrecords.parse(content)
     assert (record.holder, record.engine, at) == ("me", "d1", 0)
--- a/packages/bulrushgrade_daemon/tests/test_usagereporting.py
+++ b/packages/bulrushgrade_daemon/tests/test_usagereporting.py
@@ -20,7 +20,7 @@
 DEALER = workspaces.Workspace(name="dealer")
 LESSOR = workspaces.Workspace(name="lessor")
 STARTED_S = 1_700_000_000.0
-TAKEN = operatorcalls.CallOutcome.TAKEN
+ACCEPTED = operatorcalls.CallOutcome.ACCEPTED
 
 
 class Fleet:
@@ -30,7 +30,7 @@
         self.reactor, self.timers, _ = fakes.make_timers()
         self.log = []
         self.reports = {}
-        self.answer = Success(TAKEN)
+        self.answer = Success(ACCEPTED)
         self.loses = lambda peer, message: False
         self.daemons = {}
         self.unable = set()
@@ -106,7 +106,7 @@
 
     def begin(self, name, workspace=DEALER, count=1):
         for _ in range(count):
-            self.daemons[name].note_begun(workspace, self.timers.now)
+            self.daemons[name].record_run_start(workspace, self.timers.now)
 
     def total(self, workspace="dealer"):
         return sum(
@@ -139,7 +139,7 @@
         for name in "abc":
             fleet.begin(name)
         fleet.begin("b", LESSOR)
-        fleet.daemons["c"].note_begun(None, fleet.timers.now)
+        fleet.daemons["c"].record_run_start(None, fleet.timers.now)
         fleet.pass_time(0.5)
     fleet.pass_time(10.0)
     assert (fleet.total(), fleet.total("lessor")) == (120, 40)
@@ -197,7 +197,7 @@
 def test_host_that_is_killed_loses_no_more_than_its_last_second():
     fleet = Fleet("a", "b")
     fleet.begin("b", count=3)
-    sent_each_s = usagereporting.CHECK_PERIOD_S * usagereporting.SEND_CHECKS
+    sent_each_s = usagereporting.CHECK_PERIOD_S * usagereporting.CHECKS_PER_SEND
     fleet.pass_time(sent_each_s + 0.2)
     fleet.kill("b")
     fleet.pass_time(20.0)
@@ -239,7 +239,7 @@
     fleet.pass_time(8.0)
     fleet.begin("b", count=2)
     fleet.pass_time(2.0)
-    fleet.answer = Success(TAKEN)
+    fleet.answer = Success(ACCEPTED)
     fleet.pass_time(12.0)
     assert fleet.total() == 5
     assert any(len(sent) > 1 for sent in fleet.reports.values())
