--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
@@ -58,7 +58,7 @@
         self._ordering = False
         self._outcomes: dict[str, int] = {}
         self._tick: Any = None
-        actions.listen(self._take_record)
+        actions.listen(self._apply_record)
 
     @property
     def counts(self) -> dict[str, int]:
@@ -86,7 +86,7 @@
         if self._ordering or not self._leads():
             return
         for view in self._views():
-            plan = self._plan(view.service)
+            plan = self._get_plan(view.service)
             if plan.propose(view, self._timers.now) is not None:
                 self._ordering = True
                 task.spawn(
@@ -96,7 +96,7 @@
                 )
                 return
 
-    def _plan(self, service: str) -> capacityplan.CapacityPlan:
+    def _get_plan(self, service: str) -> capacityplan.CapacityPlan:
         if service not in self._plans:
             plan = capacityplan.CapacityPlan(holder=self._own_name)
             self._plans[service] = plan
@@ -156,8 +156,10 @@
                 return plan.propose(view, self._timers.now)
         return None
 
-    def _take_record(
+    def _apply_record(
         self, record: orderrecords.OrderRecord, number: int
     ) -> None:
         if isinstance(record, capacityplan.CapacityRecord):
-            self._plan(record.service).apply_record(record, self._timers.now)
+            self._get_plan(record.service).apply_record(
+                record, self._timers.now
+            )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/clock.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/clock.py
@@ -58,7 +58,7 @@
         self._on_broken = on_broken
         self._clock = clock
         self._timers = timer.Timers(now=clock())
-        self._call = None
+        self._wakeup = None
         self._armed_for = 0.0
         self._running = False
 
@@ -101,8 +101,8 @@
     async def stop(self) -> None:
         """Calls nobody any more."""
         self._running = False
-        if self._call is not None and self._call.active():
-            self._call.cancel()
+        if self._wakeup is not None and self._wakeup.active():
+            self._wakeup.cancel()
 
     def receive(self, message: Any) -> None:
         """Takes no messages."""
@@ -115,13 +115,13 @@
         due = self._timers.next_due
         if not self._running or due is None:
             return
-        if self._call is not None and self._call.active():
+        if self._wakeup is not None and self._wakeup.active():
             if self._armed_for <= due:
                 return
-            self._call.cancel()
+            self._wakeup.cancel()
         self._armed_for = due
         delay_s = max(0.0, due - self._clock())
-        self._call = self._reactor.callLater(delay_s, self._tick)
+        self._wakeup = self._reactor.callLater(delay_s, self._tick)
 
     def _tick(self) -> None:
         # A callback that raises has left its service half changed, and would
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/decisionlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/decisionlog.py
@@ -61,16 +61,16 @@
         self._wall_clock = wall_clock
         self._clock = clock
         self._lines: collections.deque[bytes] = collections.deque()
-        self._dropped = 0
-        self._dropped_in_all = 0
+        self._unreported_drops = 0
+        self._total_dropped = 0
         self._written = 0
-        self._credit = BURST_LINES
-        self._credit_at = clock()
+        self._tokens = BURST_LINES
+        self._refilled_at = clock()
 
     @property
     def counts(self) -> dict[str, int]:
         """Lines written and dropped since the start."""
-        return {"written": self._written, "dropped": self._dropped_in_all}
+        return {"written": self._written, "dropped": self._total_dropped}
 
     def note(self, event: str, **fields: Any) -> None:
         """Writes a line, within the rate.
@@ -79,7 +79,7 @@
             event: What happened, in words joined by underscores.
             **fields: Inputs with their age or version, and the outcome.
         """
-        if not self._take_credit():
+        if not self._take_token():
             self._drop()
             return
         self._queue(event, fields)
@@ -106,19 +106,19 @@
             self._lines.popleft()
             self._written += 1
 
-    def _take_credit(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._clock()
-        earned = (now - self._credit_at) * LINES_PER_S
-        self._credit = min(BURST_LINES, self._credit + earned)
-        self._credit_at = now
-        if self._credit < 1.0:
+        refill = (now - self._refilled_at) * LINES_PER_S
+        self._tokens = min(BURST_LINES, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._credit -= 1.0
+        self._tokens -= 1.0
         return True
 
     def _drop(self) -> None:
-        self._dropped += 1
-        self._dropped_in_all += 1
+        self._unreported_drops += 1
+        self._total_dropped += 1
 
     def _queue(self, event: str, fields: dict[str, Any]) -> None:
         if len(self._lines) >= MAX_LINES_QUEUED:
@@ -127,9 +127,9 @@
         line = {"t": round(self._wall_clock(), 3), "host": self._host}
         line["event"] = event
         line.update(fields)
-        if self._dropped:
-            line["lines_dropped"] = self._dropped
-            self._dropped = 0
+        if self._unreported_drops:
+            line["lines_dropped"] = self._unreported_drops
+            self._unreported_drops = 0
         self._lines.append(_encoder.encode(line) + b"\n")
         self.flush()
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
@@ -114,16 +114,16 @@
 
     def listen(
         self,
-        take: Callable[[orderrecords.OrderRecord, int], None],
+        on_record: Callable[[orderrecords.OrderRecord, int], None],
         on_gap: Callable[[], None] = lambda: None,
     ) -> None:
         """Has records that can be read passed on, own ones included.
 
         Args:
-            take: Takes each record with its number, in their order.
+            on_record: Takes each record with its number, in their order.
             on_gap: Called where records were dropped unread.
         """
-        self._listeners.append((take, on_gap))
+        self._listeners.append((on_record, on_gap))
 
     async def perform(
         self,
@@ -155,7 +155,7 @@
         read = await self._topic.read(self._turn.end)
         if isinstance(read, Failure):
             return _withhold(f"store away: {read.failure().reason}")
-        self._take_records(*read.unwrap())
+        self._apply_records(*read.unwrap())
         if not self._turn.may_append(self._timers.now):
             return _withhold("another host's turn")
         record = await make()
@@ -189,22 +189,22 @@
                 self._pass_on(record, number)
                 return appended
 
-    def _take_records(self, first: int, contents: tuple[bytes, ...]) -> None:
+    def _apply_records(self, first: int, contents: tuple[bytes, ...]) -> None:
         now = self._timers.now
         if first > self._turn.end:
             self._turn.skip_to(first, now=now)
             for _, on_gap in self._listeners:
                 on_gap()
-        for place, content in enumerate(contents):
+        for index, content in enumerate(contents):
             record = orderrecords.parse(content)
             holder = None if record is None else record.holder
-            self._turn.apply(holder, first + place, now=now)
+            self._turn.apply(holder, first + index, now=now)
             if record is not None:
-                self._pass_on(record, first + place)
+                self._pass_on(record, first + index)
 
     def _pass_on(self, record: orderrecords.OrderRecord, number: int) -> None:
-        for take, _ in self._listeners:
-            take(record, number)
+        for on_record, _ in self._listeners:
+            on_record(record, number)
 
 
 def _withhold(reason: str) -> Failure:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
@@ -51,7 +51,7 @@
         """
         self._settings = settings
         self._stopping = False
-        self._stop_began = 0.0
+        self._stop_started_at = 0.0
         self._log = decisionlog.DecisionLog(host=settings.host.name)
         self._kernel = kernel_module.Kernel(
             call_soon=lambda work: reactor.callLater(0, work),
@@ -107,7 +107,7 @@
         timers, front = self._services.timers, self._services.front
         requests = self._services.forwarder
         front.announce_stop()
-        began = self._stop_began = timers.now
+        began = self._stop_started_at = timers.now
         limit = began + self._settings.bounds.stop_s - STOP_RESERVE_S
         self._log.always("stopping", open=requests.open_requests)
         while timers.now < limit:
@@ -117,11 +117,11 @@
             front.close_idle()
             if front.connections == 0:
                 break
-        left = requests.open_requests
+        unfinished = requests.open_requests
         await self._kernel.stop()
         self._log.always(
             "stopped",
-            open=left,
+            open=unfinished,
             took_s=round(timers.now - began, 2),
         )
 
@@ -135,7 +135,7 @@
         """
         if not self._stopping:
             return None
-        stopping_s = self._services.timers.now - self._stop_began
+        stopping_s = self._services.timers.now - self._stop_started_at
         if stopping_s < STOP_LISTEN_S:
             return None
         return self._settings.bounds.stop_s - STOP_RESERVE_S - stopping_s
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
@@ -23,13 +23,13 @@
 
 
 def make_admin_finder(
-    found: metrics.Metrics, kernel: kernel_module.Kernel
+    registry: metrics.Metrics, kernel: kernel_module.Kernel
 ) -> Callable[[str], pages.Page]:
     """Returns the pages for operators."""
 
     def find(path: str) -> pages.Page:
         if path == "/metrics":
-            return pages.Page(status=200, body=found.render())
+            return pages.Page(status=200, body=registry.render())
         if path == "/dump":
             body = msgspec.json.encode(kernel.dump(), enc_hook=str)
             return pages.Page(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayprocess.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayprocess.py
@@ -49,7 +49,7 @@
             settings=settings,
             adapter=build_adapter(settings, reactor),
             reactor=reactor,
-            on_broken=self._broken,
+            on_broken=self._fail,
         )
 
     def run(self) -> int:
@@ -67,20 +67,20 @@
         return lambda number, frame: self._reactor.callFromThread(handle)
 
     def _start(self) -> None:
-        task.spawn(self._open(), name="start", on_broken=self._broken)
+        task.spawn(self._start_gateway(), name="start", on_broken=self._fail)
 
-    async def _open(self) -> None:
+    async def _start_gateway(self) -> None:
         try:
             await self._gateway.start()
         except internet_error.CannotListenError as error:
-            self._broken(f"can't open an address: {error}")
+            self._fail(f"can't open an address: {error}")
 
     def _stop(self) -> None:
         if not self._stopping:
             self._stopping = True
-            task.spawn(self._close(), name="stop", on_broken=self._broken)
+            task.spawn(self._stop_gateway(), name="stop", on_broken=self._fail)
 
-    async def _close(self) -> None:
+    async def _stop_gateway(self) -> None:
         await self._gateway.stop()
         self._reactor.stop()
 
@@ -92,7 +92,7 @@
             return
         self._gateway.reload(read.unwrap())
 
-    def _broken(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         self._gateway.log.always("broken_invariant", reason=reason)
         self._exit_code = EXIT_BROKEN
         if self._reactor.running:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -138,7 +138,7 @@
         self._make_chooser()
         self._make_crash_sharing()
         self._make_forwarding()
-        self._make_sharing()
+        self._make_gossip()
         self._make_stage_control()
         self._tasks = self._make_operator_tasks()
         for service in (
@@ -366,7 +366,7 @@
             handle=self._forwarder.handle,
         )
 
-    def _make_sharing(self) -> None:
+    def _make_gossip(self) -> None:
         context = self._context
         sharing = cachesharing.CacheSharing(
             endpoints=self._view.endpoints, work=self._work
@@ -390,7 +390,7 @@
             read_own=self._work.shares,
             may_order=self._may_order,
             take_changes=sharing.take_advertised,
-            take_other=self._take_message,
+            take_other=self._dispatch,
             log=context.log,
         )
         sharing.advertise_by(self._gossip)
@@ -425,7 +425,7 @@
             control=context.adapter.engine_control,
             leads=lambda: self._tasks.is_leader(),
             views=self._chooser.engine_views,
-            announce=self._announce_stage,
+            announce=self._announce_role_change,
             log=context.log,
             on_broken=context.kernel.fail,
         )
@@ -448,7 +448,7 @@
             on_broken=context.kernel.fail,
         )
 
-    def _take_message(self, message: gatewaymessages.Message) -> None:
+    def _dispatch(self, message: gatewaymessages.Message) -> None:
         match message:
             case gatewaymessages.RoleChangeNotice(engine, stage, change_ms):
                 self._chooser.note_stage_change(engine, stage, change_ms / 1000)
@@ -467,7 +467,7 @@
             case _:
                 self._index.receive(message)
 
-    def _announce_stage(
+    def _announce_role_change(
         self, change: stageplan.StageChange, change_s: float
     ) -> None:
         notice = gatewaymessages.RoleChangeNotice(
@@ -475,7 +475,7 @@
             stage=change.stage,
             change_ms=round(change_s * 1000),
         )
-        self._take_message(notice)
+        self._dispatch(notice)
         self._link.broadcast(notice)
 
     def _may_order(self) -> bool:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
@@ -23,9 +23,9 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Waiting:
+class _PendingAppend:
     append: record.Append
-    stored: defer.Deferred
+    result: defer.Deferred
 
 
 class LogWriter:
@@ -37,8 +37,8 @@
     def __init__(self, *, log: logclient.LogClient, kernel: Any):
         self._log = log
         self._kernel = kernel
-        self._waiting: dict[str, list[_Waiting]] = {}
-        self._busy: set[str] = set()
+        self._pending: dict[str, list[_PendingAppend]] = {}
+        self._active_streams: set[str] = set()
         self._counts = {"records": 0, "requests": 0, "overfull": 0}
 
     @property
@@ -59,8 +59,8 @@
 
     def dump(self) -> dict[str, Any]:
         """Returns the counters and what waits, by stream."""
-        waiting = {s: len(w) for s, w in self._waiting.items() if w}
-        return {"waiting": waiting, "counts": dict(self._counts)}
+        pending = {s: len(w) for s, w in self._pending.items() if w}
+        return {"waiting": pending, "counts": dict(self._counts)}
 
     def append(self, append: record.Append) -> defer.Deferred:
         """Appends a record with the next batch of its stream.
@@ -71,38 +71,38 @@
         Returns:
             Fires with its offset, or with what is known of a failure.
         """
-        waiting = self._waiting.setdefault(append.stream, [])
-        if len(waiting) >= MAX_PENDING:
+        pending = self._pending.setdefault(append.stream, [])
+        if len(pending) >= MAX_PENDING:
             self._counts["overfull"] += 1
             reason = "too many records wait for the log"
             return defer.succeed(Failure(logclient.NotStored(reason=reason)))
-        stored: defer.Deferred = defer.Deferred()
-        waiting.append(_Waiting(append=append, stored=stored))
-        if append.stream not in self._busy:
-            self._busy.add(append.stream)
+        result: defer.Deferred = defer.Deferred()
+        pending.append(_PendingAppend(append=append, result=result))
+        if append.stream not in self._active_streams:
+            self._active_streams.add(append.stream)
             task.spawn(
-                self._drain(append.stream),
+                self._append_batches(append.stream),
                 name=f"append to {append.stream}",
                 on_broken=self._kernel.fail,
             )
-        return stored
+        return result
 
-    async def _drain(self, stream: str) -> None:
-        waiting = self._waiting[stream]
-        while waiting:
-            batch = waiting[:MAX_BATCH]
-            del waiting[:MAX_BATCH]
+    async def _append_batches(self, stream: str) -> None:
+        pending = self._pending[stream]
+        while pending:
+            batch = pending[:MAX_BATCH]
+            del pending[:MAX_BATCH]
             self._counts["records"] += len(batch)
             self._counts["requests"] += 1
-            stored = await self._log.append(
+            result = await self._log.append(
                 stream, [each.append for each in batch]
             )
             for number, each in enumerate(batch):
-                each.stored.callback(_pick(stored, number))
-        self._busy.discard(stream)
+                each.result.callback(_pick_result(result, number))
+        self._active_streams.discard(stream)
 
 
-def _pick(stored: Any, number: int) -> AppendResult:
-    if isinstance(stored, Failure):
-        return stored
-    return Success(stored.unwrap()[number])
+def _pick_result(result: Any, number: int) -> AppendResult:
+    if isinstance(result, Failure):
+        return result
+    return Success(result.unwrap()[number])
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
@@ -107,9 +107,9 @@
     ) -> None:
         """Writes that an attempt gave no whole answer."""
         now = self._now()
-        run = {}
+        run_fields = {}
         if ended.outcome is not attempts.Outcome.UNREACHED:
-            run = {
+            run_fields = {
                 "fingerprint": request.fingerprint,
                 "ran_s": _rounded(request.ran_s(now)),
                 "events": request.splitter.events,
@@ -122,7 +122,7 @@
             outcome=ended.outcome.value,
             reason=ended.reason,
             arrivals=request.history.arrivals,
-            **run,
+            **run_fields,
             left_s=round(request.left_s(now), 3),
             again=again,
         )
@@ -148,14 +148,14 @@
         self,
         request: inflight.InFlight,
         endpoint: directory.Registration,
-        beliefs: dict[str, Any],
+        estimates: dict[str, Any],
     ) -> None:
         """Writes that a stream began or went on too late.
 
         Args:
             request: Whose stream it is.
             endpoint: Who generates it.
-            beliefs: What is believed of that engine now.
+            estimates: What is believed of that engine now.
         """
         pace = request.pace
         first_s = pace.first_at - request.caller.arrived_at
@@ -169,7 +169,7 @@
             longest_pause_s=round(pace.longest_pause_s, 3),
             events=request.splitter.events,
             **request.describe_plan(),
-            **beliefs,
+            **estimates,
         )
 
     def log_broken(self, request: inflight.InFlight | None, trace: str) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
@@ -125,13 +125,13 @@
         self._on_broken = on_broken
         self._plans: dict[str, stageplan.StagePlan] = {}
         self._ordering = False
-        self._orders = 0
+        self._orders_sent = 0
         self._tick: Any = None
 
     @property
     def counts(self) -> dict[str, int]:
         """Orders sent since the start."""
-        return {"orders": self._orders}
+        return {"orders": self._orders_sent}
 
     async def start(self) -> None:
         """Begins to watch."""
@@ -168,12 +168,12 @@
                 continue
             self._ordering = True
             task.spawn(
-                self._change(view, plan, change),
+                self._execute_change(view, plan, change),
                 name=self.name,
                 on_broken=self._on_broken,
             )
 
-    async def _change(
+    async def _execute_change(
         self,
         view: stageplan.ServiceView,
         plan: stageplan.StagePlan,
@@ -230,7 +230,7 @@
                 number=permit.number,
                 expected_orders=report.orders,
             )
-            self._orders += 1
+            self._orders_sent += 1
             return await self._control.order(order, permit.check)
 
         sent = await self._actions.perform(make, send)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -116,21 +116,21 @@
         self._time_of_day = time_of_day
         self._time = wallclock.WallClock()
         self._meter = usagewindows.UsageMeter(windows=windows)
-        self._note_clock()
-        self._first = windows.number(self._now)
+        self._sample_clock()
+        self._first_window = windows.number(self._now)
         self._reports = usagewindows.UsageReports(
             holder=own_name, windows=windows, started_at=self._now
         )
         # Windows that the one that reports has from this daemon.
-        self._taken: set[int] = set()
-        self._taken_by: str | None = None
+        self._acknowledged: set[int] = set()
+        self._acknowledged_by: str | None = None
         self._reporter: _Reporter | None = None
-        self._began_at = -math.inf
+        self._reporter_since = -math.inf
         self._checks = 0
-        self._acting = False
+        self._action_running = False
         self._outcomes: dict[str, int] = {}
         self._tick: Any = None
-        actions.listen(self._take_record, self._note_gap)
+        actions.listen(self._apply_record, self._record_gap)
 
     @property
     def counts(self) -> dict[str, int]:
@@ -178,23 +178,23 @@
         """Takes a peer's counts, its reply to counts, or that it reports."""
         match message:
             case gatewaymessages.UsageCounts():
-                self._take_counts(message)
+                self._receive_counts(message)
             case gatewaymessages.UsageTaken():
-                self._note_reporter(message.peer, message.number)
-                if message.peer == self._taken_by:
-                    self._taken.update(message.windows)
+                self._observe_reporter(message.peer, message.number)
+                if message.peer == self._acknowledged_by:
+                    self._acknowledged.update(message.windows)
             case gatewaymessages.UsageReporter():
-                self._note_reporter(message.peer, message.number)
+                self._observe_reporter(message.peer, message.number)
 
     @property
     def _now(self) -> float:
         return self._time.time_at(self._timers.now)
 
-    def _note_clock(self) -> None:
+    def _sample_clock(self) -> None:
         self._time.add_sample(self._time_of_day(), self._timers.now)
 
     def _check(self) -> None:
-        self._note_clock()
+        self._sample_clock()
         self._checks += 1
         now = self._now
         self._meter.forget(now)
@@ -204,8 +204,8 @@
         if self._find_reporter() != self._own_name:
             if self._checks % CHECKS_PER_SEND == 0:
                 self._send_counts(now)
-        elif self._may_order() and not self._acting:
-            self._act(now)
+        elif self._may_order() and not self._action_running:
+            self._start_action(now)
 
     # Who reports.
 
@@ -219,7 +219,7 @@
             return reporter.name
         return self._fleet.first_able()
 
-    def _note_reporter(self, name: str, number: int) -> None:
+    def _observe_reporter(self, name: str, number: int) -> None:
         """Notes the number of somebody's last record; 0 if it has none."""
         known = self._reporter
         if number == 0:
@@ -243,11 +243,13 @@
         reporter = self._find_reporter()
         if reporter == self._own_name:
             return
-        if reporter != self._taken_by:
-            self._taken_by = reporter
-            self._taken.clear()
-        self._taken = {
-            w for w in self._taken if w >= self._windows.oldest_retained(now)
+        if reporter != self._acknowledged_by:
+            self._acknowledged_by = reporter
+            self._acknowledged.clear()
+        self._acknowledged = {
+            w
+            for w in self._acknowledged
+            if w >= self._windows.oldest_retained(now)
         }
         sent = [
             gatewaymessages.WindowCounts(
@@ -256,7 +258,7 @@
                 is_whole=self._windows.is_settled(window, now),
             )
             for window in self._open_windows(now)
-            if window not in self._taken
+            if window not in self._acknowledged
         ]
         self._send(
             reporter,
@@ -271,32 +273,32 @@
         """
         newest = self._windows.number(now)
         oldest = max(
-            self._first, self._windows.number(now - self._windows.late_s)
+            self._first_window, self._windows.number(now - self._windows.late_s)
         )
         return list(range(oldest, newest + 1))
 
-    def _take_counts(self, message: gatewaymessages.UsageCounts) -> None:
-        taken = [
-            one.window
-            for one in message.windows
+    def _receive_counts(self, message: gatewaymessages.UsageCounts) -> None:
+        received = [
+            entry.window
+            for entry in message.windows
             if self._reports.store_counts(
                 message.peer,
-                one.window,
-                one.counts,
-                is_whole=one.is_whole,
+                entry.window,
+                entry.counts,
+                is_whole=entry.is_whole,
             )
         ]
         number = self._reporter.number if self.is_reporter else 0
         self._send(
             message.peer,
             gatewaymessages.UsageTaken(
-                peer=self._own_name, windows=taken, number=number
+                peer=self._own_name, windows=received, number=number
             ),
         )
 
     # Reports.
 
-    def _act(self, now: float) -> None:
+    def _start_action(self, now: float) -> None:
         for window in self._open_windows(now):
             self._reports.store_counts(
                 self._own_name,
@@ -305,22 +307,22 @@
                 is_whole=self._windows.is_settled(window, now),
             )
         if not self.is_reporter:
-            work = self._begin()
+            work = self._become_reporter()
         elif self._next_record() is not None:
             work = self._report()
         else:
             return
-        self._acting = True
+        self._action_running = True
         task.spawn(work, name=self.name, on_broken=self._on_broken)
 
     def _next_record(self) -> usagewindows.UsageRecord | None:
         """Returns what to report now, from all counts that can be had."""
-        began_s = self._timers.now - self._began_at
-        if began_s < COLLECTION_S:
+        reporter_for_s = self._timers.now - self._reporter_since
+        if reporter_for_s < COLLECTION_S:
             return None
         return self._reports.next_record(self._now, self._fleet.there)
 
-    async def _begin(self) -> None:
+    async def _become_reporter(self) -> None:
         """Becomes the one that reports."""
 
         async def make() -> (
@@ -337,12 +339,12 @@
             return Success(None)
 
         try:
-            begun = await self._actions.perform(make, send)
+            recorded = await self._actions.perform(make, send)
         finally:
-            self._acting = False
-        if isinstance(begun, Failure):
+            self._action_running = False
+        if isinstance(recorded, Failure):
             return
-        self._began_at = self._timers.now
+        self._reporter_since = self._timers.now
         self._log.note("usage_reporter", reporter=self._own_name)
         self._announce()
 
@@ -361,7 +363,7 @@
         try:
             sent = await self._actions.perform(make, self._calls.report_usage)
         finally:
-            self._acting = False
+            self._action_running = False
         if isinstance(sent, Failure):
             outcome = sent.failure().reason
         else:
@@ -384,15 +386,15 @@
             outcome=outcome,
         )
 
-    def _take_record(
+    def _apply_record(
         self, record: orderrecords.OrderRecord, number: int
     ) -> None:
         match record:
             case usagewindows.UsageRecord():
                 self._reports.apply_record(record)
-                self._note_reporter(record.holder, number)
+                self._observe_reporter(record.holder, number)
             case usagewindows.ReporterRecord():
-                self._note_reporter(record.holder, number)
+                self._observe_reporter(record.holder, number)
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         self._reports.record_gap(self._now)
--- a/packages/bulrushgrade_daemon/tests/test_clock.py
+++ b/packages/bulrushgrade_daemon/tests/test_clock.py
@@ -6,7 +6,7 @@
 from bulrushgrade_daemon import clock
 
 
-def test_time_of_day_that_jumps_back_holds_no_timer_up(monkeypatch):
+def test_time_of_day_that_jumps_back_delays_no_timer(monkeypatch):
     """The time of day is set back by seconds on a host that serves.
 
     Twisted times its calls by the time of day. Every timer of the process
--- a/packages/bulrushgrade_daemon/tests/test_decisionlog.py
+++ b/packages/bulrushgrade_daemon/tests/test_decisionlog.py
@@ -8,21 +8,21 @@
 class Sink:
     """Takes lines until it is full."""
 
-    def __init__(self, room=10**9):
-        self.room = room
-        self.taken = b""
+    def __init__(self, capacity=10**9):
+        self.capacity = capacity
+        self.received = b""
 
     def write(self, line):
-        if self.room <= 0:
+        if self.capacity <= 0:
             raise BlockingIOError()
-        part = line[: self.room]
-        self.room -= len(part)
-        self.taken += part
+        part = line[: self.capacity]
+        self.capacity -= len(part)
+        self.received += part
         return len(part)
 
     @property
     def lines(self):
-        return [json.loads(line) for line in self.taken.splitlines()]
+        return [json.loads(line) for line in self.received.splitlines()]
 
 
 def make(sink, now):
@@ -34,7 +34,7 @@
     )
 
 
-def test_line_holds_what_decided():
+def test_line_holds_the_fields_of_a_decision():
     sink = Sink()
     make(sink, [0.0]).note("refused", request="q1", age_s=0.5)
     (line,) = sink.lines
@@ -72,23 +72,23 @@
     assert sink.lines[-1]["event"] == "stopping"
 
 
-def test_slow_reader_never_holds_the_process_up():
+def test_slow_reader_never_blocks_the_process():
     """Whoever reads the output stalls, and its pipe is full.
 
     A write that waited would stop every request of this host.
     """
-    sink, now = Sink(room=150), [0.0]
+    sink, now = Sink(capacity=150), [0.0]
     log = make(sink, now)
     for _ in range(decisionlog.MAX_LINES_QUEUED + 500):
         now[0] += 1.0
         log.note("x")
     assert log.counts["dropped"] > 0
-    sink.room = 10**9
+    sink.capacity = 10**9
     log.flush()
     assert len(sink.lines) >= decisionlog.MAX_LINES_QUEUED
 
 
-def test_reader_that_is_gone_is_no_error():
+def test_closed_reader_is_not_an_error():
     def write(line):
         raise BrokenPipeError()
 
--- a/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
+++ b/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
@@ -122,7 +122,7 @@
     assert scene.append.calls == []
 
 
-def test_host_that_does_not_lead_looks_at_no_engine():
+def test_host_that_does_not_lead_builds_no_engine_views():
     """Guards against work for every engine on every host all the time."""
     scene = Scene(leads=False)
     scene.pump(5.0)
@@ -171,7 +171,7 @@
     assert scene.sent == []
 
 
-def test_busy_engine_is_left_alone():
+def test_busy_engine_gets_no_order():
     busy = stagecontrol.EngineReport(stage=DECODE, busy=True, orders=1)
     scene = Scene(report=busy)
     scene.pump(5.0)
