--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/capacitycontrol.py
@@ -1,4 +1,7 @@
-"""Orders engines by zone and kind; one host at a time does so."""
+"""Orders engines from the operator, by zone and by spot or regular capacity.
+
+One host at a time does so.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,11 +16,11 @@
 from bulrushgrade_daemon import task
 
 CHECK_PERIOD_S = 0.5
-"""Between two looks at which engines there are."""
+"""Time between two checks of the number of running engines."""
 
 
 class CapacityControl:
-    """Watches which engines there are and orders others."""
+    """Compares running engines with the needed ones and orders changes."""
 
     name = "capacitycontrol"
     requires = ("timer",)
@@ -34,17 +37,17 @@
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
+            timers: The timer service; its clock runs during pauses.
             own_name: This daemon's incarnation.
-            actions: Carries out what only one host at a time may do.
-            calls: Orders engines of the operator.
-            leads: Returns whether this host is the one to decide.
-            views: Returns what is known of the services that have a choice.
-            log: Gets a line for each order.
-            on_broken: Called with the reason where an invariant is broken.
+            actions: Performs actions that only one host at a time may do.
+            calls: Calls to the operator's API.
+            leads: Returns whether this host is the leader.
+            views: Returns the state of the services that can be scaled.
+            log: Receives a line for each order.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._timers = timers
         self._own_name = own_name
@@ -62,23 +65,23 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Orders by what came of them."""
+        """Number of orders by outcome."""
         return dict(self._outcomes)
 
     async def start(self) -> None:
-        """Begins to watch."""
+        """Starts the periodic checks."""
         self._tick = self._timers.every(CHECK_PERIOD_S, self._check)
 
     async def stop(self) -> None:
-        """Watches no more."""
+        """Stops the periodic checks."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores all messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is wanted."""
+        """Returns the needed engines by service and the outcome counts."""
         needed = {name: plan.needed for name, plan in self._plans.items()}
         return {"needed": needed, **self.counts}
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/clock.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/clock.py
@@ -9,33 +9,33 @@
 
 from bulrushgrade import timer
 
-# A callback that is due within this many seconds runs now: arming the
-# reactor again for less costs more than it gains in exactness.
+# Callbacks that are due within this many seconds run now. The better accuracy
+# is not worth the cost of another call of the reactor.
 SLACK_S = 0.0005
 
 
 def read_boottime() -> float:
-    """Returns seconds of the clock that counts suspend.
+    """Returns the seconds of a clock that keeps running during suspend.
 
-    Leases compare rates of this clock only. CLOCK_MONOTONIC stops while a
-    machine is suspended, so a holder that was suspended would believe that
-    its lease still stands.
+    Leases only measure durations with this clock. CLOCK_MONOTONIC stops while
+    a machine is suspended, so a holder that was suspended would assume that
+    its lease is still valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def use_steady_clock(reactor: Any) -> None:
-    """Has a reactor time its calls by a clock that nobody sets.
+    """Makes a reactor schedule its calls by a clock that is never set.
 
-    Twisted goes by the time of day. Where that is set back, every timer of
-    the process stands still for as long as the jump: nothing is read from the
-    store, no deadline passes. Call this before anything is scheduled.
+    Twisted uses the time of day. If that is set back, all timers of the
+    process stop for the length of the jump: nothing is read from the store
+    and no deadline passes. Call this before anything is scheduled.
     """
     reactor.seconds = read_boottime
 
 
 class TimerService:
-    """Drives `bulrushgrade.timer.Timers` from a reactor."""
+    """Runs the callbacks of `bulrushgrade.timer.Timers` in a reactor."""
 
     name = "timer"
     requires = ()
@@ -47,12 +47,12 @@
         on_broken: Callable[[str], None],
         clock: Callable[[], float] = read_boottime,
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            reactor: Wakes it when the next callback is due.
+            reactor: Calls the service when the next callback is due.
             on_broken: Called with the reason when a callback raises.
-            clock: Returns the present time in seconds.
+            clock: Returns the current time in seconds.
         """
         self._reactor = reactor
         self._on_broken = on_broken
@@ -64,13 +64,13 @@
 
     @property
     def now(self) -> float:
-        """The present time in seconds of the boot-time clock."""
+        """The current time in seconds of the boot-time clock."""
         return self._clock()
 
     def every(
         self, period_s: float, callback: Callable[[], None]
     ) -> timer.Subscription:
-        """Subscribes to a call every `period_s` seconds."""
+        """Subscribes a callback to be called every `period_s` seconds."""
         subscription = self._timers.every(period_s, callback)
         self._arm()
         return subscription
@@ -78,14 +78,14 @@
     def after(
         self, delay_s: float, callback: Callable[[], None]
     ) -> timer.Subscription:
-        """Subscribes to a single call in `delay_s` seconds from now."""
+        """Subscribes a callback to be called once, in `delay_s` seconds."""
         lag_s = self._clock() - self._timers.now
         subscription = self._timers.after(lag_s + delay_s, callback)
         self._arm()
         return subscription
 
     async def sleep(self, delay_s: float) -> None:
-        """Returns in `delay_s` seconds; may be cancelled meanwhile."""
+        """Returns after `delay_s` seconds; may be cancelled before."""
         woken: defer.Deferred = defer.Deferred()
         subscription = self.after(delay_s, lambda: woken.callback(None))
         try:
@@ -94,21 +94,21 @@
             subscription.cancel()
 
     async def start(self) -> None:
-        """Begins to call subscribers."""
+        """Starts to call subscribers."""
         self._running = True
         self._arm()
 
     async def stop(self) -> None:
-        """Calls nobody any more."""
+        """Stops calling subscribers."""
         self._running = False
         if self._wakeup is not None and self._wakeup.active():
             self._wakeup.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores all messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the time and when the next callback is due."""
+        """Returns the current time and the time of the next callback."""
         return {"now_s": self.now, "next_due_s": self._timers.next_due}
 
     def _arm(self) -> None:
@@ -124,8 +124,9 @@
         self._wakeup = self._reactor.callLater(delay_s, self._tick)
 
     def _tick(self) -> None:
-        # A callback that raises has left its service half changed, and would
-        # leave every other subscriber uncalled from then on.
+        # A callback that raised may have left its service in an inconsistent
+        # state, and the exception would end the calls of all other
+        # subscribers.
         try:
             self._timers.advance(self._clock() + SLACK_S)
         except Exception:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/decisionlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/decisionlog.py
@@ -1,8 +1,8 @@
-"""Structured lines on standard output that never hold the process up.
+"""Structured log lines on standard output that never block the process.
 
-Each line is one JSON object. Lines wait in a bounded queue; where whoever
-reads them is slow, the newest are dropped and counted, and the count is in
-the next line that goes out.
+Each line is one JSON object. Lines wait in a bounded queue. If the reader of
+the output is too slow, new lines are dropped and counted, and the next line
+that is queued states the count.
 """
 
 import collections
@@ -16,24 +16,24 @@
 STDOUT = 1
 
 FLUSH_S = 1.0
-"""Between two attempts to write what a slow reader has left."""
+"""Time between two attempts to write lines that a slow reader did not take."""
 
 MAX_LINES_QUEUED = 2000
-"""About 500 KB; a reader that stalls for longer has lost its lines."""
+"""Maximum number of queued lines, about 500 KB. Further lines are dropped."""
 
 LINES_PER_S = 100.0
-"""Lines a second over a longer time. A daemon at four times its usual load
-makes some tens; a failure that touches every request must not turn into a
-second load of writing lines about it."""
+"""Sustained limit of lines a second. A daemon at four times its usual load
+writes some tens; a failure that affects every request must not add the load of
+logging each of them."""
 
 BURST_LINES = 400.0
-"""Lines that may be written beyond the rate at once."""
+"""Number of lines that may be written at once above the sustained limit."""
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 class DecisionLog:
-    """Writes lines from the reactor's turns; drops what does not fit."""
+    """Writes lines without blocking; drops lines above the limits."""
 
     def __init__(
         self,
@@ -43,19 +43,19 @@
         wall_clock: Callable[[], float] = time.time,
         clock: Callable[[], float] = time.monotonic,
     ):
-        """Makes a log.
+        """Creates a log.
 
         Args:
-            host: The name in each line.
-            write: Takes bytes and returns how many it took; raises
-                BlockingIOError where it would have to wait.
-            wall_clock: The time of day, for the reader of the lines.
-            clock: Paces the lines.
+            host: The host's name in each line.
+            write: Writes bytes and returns how many were written; raises
+                BlockingIOError if it would have to wait.
+            wall_clock: Returns the Unix time for the lines' timestamps.
+            clock: Returns the monotonic time for the rate limit.
         """
         self._host = host
         if write is None:
-            # A pipe whose reader stalls would otherwise hold the process up
-            # in the write.
+            # A write to a pipe whose reader stalls would otherwise block the
+            # process.
             os.set_blocking(STDOUT, False)
         self._write = write or _write_stdout
         self._wall_clock = wall_clock
@@ -69,15 +69,16 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Lines written and dropped since the start."""
+        """Number of lines written and dropped since the start."""
         return {"written": self._written, "dropped": self._total_dropped}
 
     def note(self, event: str, **fields: Any) -> None:
-        """Writes a line, within the rate.
+        """Writes a line, subject to the rate limit.
 
         Args:
             event: What happened, in words joined by underscores.
-            **fields: Inputs with their age or version, and the outcome.
+            **fields: Inputs of the decision with their age or version, and
+                the outcome.
         """
         if not self._take_token():
             self._drop()
@@ -85,11 +86,11 @@
         self._queue(event, fields)
 
     def always(self, event: str, **fields: Any) -> None:
-        """Writes a line regardless of the rate: starts, stops, reloads."""
+        """Writes a line without the rate limit: starts, stops, reloads."""
         self._queue(event, fields)
 
     def flush(self) -> None:
-        """Writes what is queued as far as the reader takes it."""
+        """Writes queued lines until the reader takes no more."""
         while self._lines:
             line = self._lines[0]
             try:
@@ -97,7 +98,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; nothing here can tell anyone.
+                # The reader closed the pipe, so the error cannot be logged.
                 self._lines.clear()
                 return
             if taken < len(line):
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/dialect.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/dialect.py
@@ -1,7 +1,8 @@
-"""How callers and endpoints spell what the gateway means.
+"""Translation between HTTP headers and the gateway's own types.
 
-The gateway decides by the types here and never looks at a header's name. A
-dialect is a set of plain functions that read and write them.
+The gateway works with the types of this module and never depends on a header's
+name. A dialect is a set of functions that read headers into these types and
+write headers from them.
 """
 
 from collections.abc import Callable
@@ -17,14 +18,15 @@
 
 @attrs.frozen(kw_only=True)
 class RequestInfo:
-    """What a caller's headers say beside the request itself.
+    """Information about a request from the caller's headers.
 
     Attributes:
-        request_id: The caller's id of this attempt; empty where it has none.
+        request_id: The caller's id of this attempt; empty if there is none.
         deadline_s: How long the caller will wait, or None.
-        prompt: What it says of its prompt, or None.
-        last_event_id: Where a broken stream should go on, or None.
-        key_digests: One for each different key that the request bears.
+        prompt: The caller's description of its prompt, or None.
+        last_event_id: The last event received of a stream to be resumed, or
+            None.
+        key_digests: The digests of the different API keys in the request.
     """
 
     request_id: str
@@ -36,11 +38,11 @@
 
 @attrs.frozen(kw_only=True)
 class PrefilledBy:
-    """Where an endpoint finds the KV cache of a prompt.
+    """The location of the KV cache of a prompt.
 
     Attributes:
-        address: The engine that read the prompt, ``IP:PORT``.
-        handle: What that engine calls it.
+        address: The engine that prefilled the prompt, ``IP:PORT``.
+        handle: That engine's name for the cached prompt.
     """
 
     address: str
@@ -49,19 +51,20 @@
 
 @attrs.frozen(kw_only=True)
 class ForwardingInfo:
-    """What the gateway adds to a request for an endpoint.
+    """What the gateway adds to a request that it forwards.
 
     Attributes:
-        endpoint: Who is meant.
-        left_s: The time that the endpoint has.
-        last_event_id: The event after which a stream goes on, or None.
-        prefill_only: Whether only the prompt is to be read.
-        prefilled_by: Where the prompt was read already, or None.
+        endpoint: The endpoint that receives the request.
+        left_s: Seconds left until the deadline.
+        last_event_id: The event after which a stream resumes, or None.
+        prefill_only: Whether the prompt is only prefilled, without decode.
+        prefilled_by: Where the prompt was prefilled already, or None.
         fetch_from: The engine, ``IP:PORT``, from which to fetch cached parts
-            before reading, or None.
-        urgency: 0 first to 9 last, or None to leave it to the endpoint.
-        workspace: Whose request it is, or None.
-        hides_key: Whether the caller's key is not for the endpoint.
+            before prefill, or None.
+        urgency: From 0, the most urgent, to 9; None leaves it to the
+            endpoint.
+        workspace: The request's workspace, or None.
+        hides_key: Whether to remove the caller's API key.
     """
 
     endpoint: directory.Registration
@@ -77,12 +80,13 @@
 
 @attrs.frozen(kw_only=True)
 class Verdict:
-    """What the head of an endpoint's answer says of the run.
+    """What the status and headers of an endpoint's answer say about the run.
 
     Attributes:
-        request_id: Which request it answers, or None where it doesn't say.
-        not_run: The endpoint says that it did not and will not run it.
-        misdirected: Another endpoint has this address.
+        request_id: The request that is answered, or None if not stated.
+        not_run: The endpoint states that it did not and will not run the
+            request.
+        misdirected: The address now belongs to another endpoint.
     """
 
     request_id: str | None
@@ -92,11 +96,11 @@
 
 @attrs.frozen(kw_only=True)
 class Prefilled:
-    """A prompt that an engine has read for another.
+    """A prompt that an engine has prefilled for another engine.
 
     Attributes:
-        handle: What the engine calls it.
-        tokens: How many tokens it read or had.
+        handle: The engine's name for the cached prompt.
+        tokens: Number of prompt tokens that were prefilled or cached.
     """
 
     handle: str
@@ -105,20 +109,20 @@
 
 @attrs.frozen(kw_only=True)
 class Dialect:
-    """The functions that translate.
+    """The functions that translate headers and bodies.
 
     Attributes:
-        read_request_info: Returns what a caller's headers say.
-        write_fields: Returns the headers of a request to an endpoint from
-            the caller's headers and what is to be added.
-        read_verdict: Returns what the status and headers of an answer say.
-        write_answer_fields: Returns the headers of an answer as the caller
-            gets them.
-        read_prefilled: Returns what the body of a prefill's answer says, or
-            None where it can't be read.
+        read_request_info: Returns the information in a caller's headers.
+        write_fields: Returns the headers of a request to an endpoint, from
+            the caller's headers and the added information.
+        read_verdict: Returns the information in the status and headers of an
+            endpoint's answer.
+        write_answer_fields: Returns the headers of the answer to the caller.
+        read_prefilled: Returns the content of the answer to a prefill, or
+            None if the body cannot be decoded.
         free_prefilled: Returns method and path of the request that frees a
-            prompt which nobody will take.
-        challenge: Headers of an answer that asks for a key.
+            prefilled prompt that will not be used.
+        challenge: Headers of an answer that demands an API key.
     """
 
     read_request_info: Callable[[Any], RequestInfo]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
@@ -1,9 +1,9 @@
-"""Carries out what only one host at a time may do.
+"""Performs actions that only one host at a time may do.
 
-Each action is appended to the topic of orders first; the record's place is
-the action's number, and `bulrushgrade.orderturn` tells whose turn it is. What
-others appended is read before, so that an action is decided from all that was
-recorded so far.
+Each action is first appended to the topic of orders. The record's offset is
+the action's number, and `bulrushgrade.orderturn` decides which host may
+append. The records of other hosts are read first, so that an action is decided
+with knowledge of everything recorded before it.
 """
 
 from collections.abc import Awaitable
@@ -26,10 +26,10 @@
 
 @attrs.frozen(kw_only=True)
 class Moved:
-    """The topic does not end where it was read to.
+    """A conditional append failed: the topic has records not yet read.
 
     Attributes:
-        end: Where it ends.
+        end: The offset at which the topic ends.
     """
 
     end: int
@@ -40,10 +40,10 @@
     """The topic of orders on the platform's store.
 
     Attributes:
-        read: Returns the contents of the records from an offset on, and the
-            offset of the first of them.
-        append: Appends a record where the topic ends at an offset; returns
-            the record's offset.
+        read: Returns the offset of the first record at or after an offset,
+            and the contents of all records from there on.
+        append: Appends a record, on condition that the topic ends at an
+            offset; returns the record's offset.
     """
 
     read: Callable[
@@ -58,13 +58,14 @@
 
 @attrs.frozen(kw_only=True)
 class Permit:
-    """What an action is sent with.
+    """The right to send one action.
 
     Attributes:
         holder: This host's incarnation.
-        number: Only grows from one action to the next, whoever's it is.
-        check: Returns, in the turn of the write, whether it may still be
-            sent.
+        number: The action's number; it increases from one action to the next
+            over all hosts.
+        check: Returns whether the action may still be sent; to be called
+            immediately before the write.
     """
 
     holder: str
@@ -74,26 +75,26 @@
 
 @attrs.frozen(kw_only=True)
 class Withheld:
-    """Nothing was sent.
+    """The action was not sent.
 
     Attributes:
-        reason: For logs.
+        reason: Why not, for logs.
     """
 
     reason: str
 
 
 class FencedActions:
-    """Appends and sends, one action at a time."""
+    """Appends and sends actions, one at a time."""
 
     def __init__(
         self, *, timers: Any, turn: orderturn.OrderTurn, topic: OrderTopic
     ):
-        """Makes a state in which nothing was read.
+        """Creates a state in which nothing has been read.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
-            turn: What is known of the topic.
+            timers: The timer service; its clock runs during pauses.
+            turn: This host's view of the topic.
             topic: The topic of orders.
         """
         self._timers = timers
@@ -109,7 +110,7 @@
 
     @property
     def end(self) -> int:
-        """Where the next record goes, as far as it is known."""
+        """The offset of the next record, as far as this host has read."""
         return self._turn.end
 
     def listen(
@@ -117,11 +118,12 @@
         on_record: Callable[[orderrecords.OrderRecord, int], None],
         on_gap: Callable[[], None] = lambda: None,
     ) -> None:
-        """Has records that can be read passed on, own ones included.
+        """Adds a listener for records, including this host's own.
 
         Args:
-            on_record: Takes each record with its number, in their order.
-            on_gap: Called where records were dropped unread.
+            on_record: Called with each decodable record and its number, in
+                the order of the topic.
+            on_gap: Called when records were dropped before they were read.
         """
         self._listeners.append((on_record, on_gap))
 
@@ -133,15 +135,15 @@
             Awaitable[Result[_Answer, outbound.CallFailed]],
         ],
     ) -> Result[_Answer, outbound.CallFailed | Withheld]:
-        """Carries out an action.
+        """Decides, records and sends an action.
 
         Args:
-            make: Returns what is to be done, from all that was recorded, or
-                why nothing is.
-            send: Sends it.
+            make: Returns the record of the action, or why there is none.
+                Called after all earlier records were read.
+            send: Sends the action.
 
         Returns:
-            What was answered, or why nothing is known or was sent.
+            The answer, or why there is no answer or nothing was sent.
         """
         await self._lock.acquire()
         try:
@@ -184,7 +186,7 @@
                 return appended
             number = appended.unwrap()
             self._turn.apply(self._turn.holder, number, now=self._timers.now)
-            # Some receivers take a number of zero for none.
+            # Some receivers treat the number zero as missing.
             if number > 0:
                 self._pass_on(record, number)
                 return appended
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
@@ -1,7 +1,8 @@
-"""The life of one gateway: start, readiness, reload, stop.
+"""The life cycle of one gateway: start, readiness, reload, stop.
 
-A gateway forwards callers' requests to endpoints by a configuration that it
-follows on the platform's store. It keeps nothing beyond its process.
+A gateway forwards callers' requests to endpoints according to a configuration
+that it reads from the platform's store. It stores nothing itself: all of its
+state is lost when its process ends.
 """
 
 from collections.abc import Callable
@@ -18,18 +19,18 @@
 from bulrushgrade_daemon import pages
 
 STOP_LISTEN_S = 3.0
-"""How long a stopping host goes on taking connections: the balancer asks
-once a second and needs two answers to take it out."""
+"""How long a stopping host keeps accepting connections. The load balancer
+checks readiness once a second and removes a host after two failed checks."""
 
 STOP_RESERVE_S = 0.8
-"""Of the time to stop, what is kept for the end of the process itself."""
+"""Part of the stop time limit that is reserved for ending the process."""
 
 STOP_CHECK_S = 0.1
-"""Between two looks at whether a stopping host is idle."""
+"""Time between two checks whether a stopping host is idle."""
 
 
 class Gateway:
-    """One gateway and what it believes at present."""
+    """One gateway: its services, pages and life cycle."""
 
     def __init__(
         self,
@@ -40,14 +41,15 @@
         on_broken: Callable[[str], None],
         rng: random.Random | None = None,
     ):
-        """Makes a gateway that has not been started.
+        """Creates a gateway that has not been started.
 
         Args:
             settings: Its settings.
-            adapter: Ties it to the platform.
+            adapter: The platform-specific functions.
             reactor: The reactor that it runs in.
             on_broken: Called with the reason when an invariant is broken.
-            rng: Source of random choices; seeded by the system by default.
+            rng: Random number generator; seeded by the operating system by
+                default.
         """
         self._settings = settings
         self._stopping = False
@@ -78,12 +80,12 @@
 
     @property
     def log(self) -> decisionlog.DecisionLog:
-        """Takes the lines of decisions."""
+        """Receives the gateway's structured log lines."""
         return self._log
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the load balancer may send callers to this host."""
         return (
             self._services.view.table is not None
             and self._services.follow_endpoints.known
@@ -102,7 +104,7 @@
         )
 
     async def stop(self) -> None:
-        """Stops without cutting a request, within the time to stop."""
+        """Finishes open requests and stops within the stop time limit."""
         self._stopping = True
         timers, front = self._services.timers, self._services.front
         requests = self._services.forwarder
@@ -126,12 +128,13 @@
         )
 
     def _ends_in_s(self) -> float | None:
-        """Returns the seconds that are left for requests that come now.
+        """Returns the seconds left for requests that arrive now.
 
-        Load: all hosts of a zone are stopped one soon after the other, and the
-        balancer, which has nobody else there, goes on sending to them. Harm:
-        what came late was passed on and cut when the process ended. Until the
-        balancer can know, requests are taken whatever they may last.
+        None means no limit. If all hosts of a zone are stopped in quick
+        succession, the load balancer has no other host there and keeps
+        sending requests to them. Without this limit, late requests would be
+        forwarded and cut off when the process ends. Until the load balancer
+        can have noticed the stop, requests of any duration are accepted.
         """
         if not self._stopping:
             return None
@@ -141,7 +144,7 @@
         return self._settings.bounds.stop_s - STOP_RESERVE_S - stopping_s
 
     def reload(self, settings: gatewaysettings.GatewaySettings) -> None:
-        """Takes changed settings; addresses need a restart."""
+        """Applies changed settings; changed addresses need a restart."""
         changed = [
             name
             for name in ("host", "listen", "store", "bounds")
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
@@ -1,4 +1,4 @@
-"""What a gateway shows to the balancer and to operators."""
+"""HTTP pages of a gateway for the load balancer and for operators."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 def make_ready_finder(ready: Callable[[], bool]) -> Callable[[str], pages.Page]:
-    """Returns the page that the balancer asks for."""
+    """Returns a function that finds the readiness page."""
 
     def find(path: str) -> pages.Page:
         if ready():
@@ -25,7 +25,7 @@
 def make_admin_finder(
     registry: metrics.Metrics, kernel: kernel_module.Kernel
 ) -> Callable[[str], pages.Page]:
-    """Returns the pages for operators."""
+    """Returns a function that finds an operator page by its path."""
 
     def find(path: str) -> pages.Page:
         if path == "/metrics":
@@ -43,7 +43,7 @@
 def register_metrics(
     services: gatewayservices.GatewayServices, log: decisionlog.DecisionLog
 ) -> None:
-    """Shows what the services count as metrics."""
+    """Exports the counters and gauges of the services as metrics."""
     for name, doc, read in (
         (
             "requests_total",
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayprocess.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayprocess.py
@@ -1,4 +1,4 @@
-"""The life of a gateway's process: settings, signals, exit code."""
+"""A gateway's process: settings file, signals and exit code."""
 
 from collections.abc import Callable
 import signal
@@ -22,7 +22,7 @@
 
 
 class GatewayProcess:
-    """Runs one gateway until it is told to stop."""
+    """Runs one gateway until a signal stops it."""
 
     def __init__(
         self,
@@ -32,12 +32,12 @@
         build_adapter: BuildAdapter,
         reactor: Any,
     ):
-        """Makes a process that has not begun.
+        """Creates the gateway without starting it.
 
         Args:
             path: The settings file, read again on SIGHUP.
-            settings: What it holds at present.
-            build_adapter: Returns the adapter from settings and reactor.
+            settings: The current content of the settings file.
+            build_adapter: Builds the adapter from settings and reactor.
             reactor: The reactor.
         """
         clock.use_steady_clock(reactor)
@@ -57,7 +57,8 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._in_reactor(self._stop))
         signal.signal(signal.SIGHUP, self._in_reactor(self._reload))
-        # A write to a connection that is gone is an error, not an end.
+        # A write to a closed connection must raise an error instead of
+        # ending the process.
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
         self._reactor.callWhenRunning(self._start)
         self._reactor.run(installSignalHandlers=False)
@@ -73,7 +74,7 @@
         try:
             await self._gateway.start()
         except internet_error.CannotListenError as error:
-            self._fail(f"can't open an address: {error}")
+            self._fail(f"cannot listen on an address: {error}")
 
     def _stop(self) -> None:
         if not self._stopping:
@@ -104,7 +105,7 @@
 
     Args:
         path: The settings file.
-        build_adapter: Returns the adapter from settings and reactor.
+        build_adapter: Builds the adapter from settings and reactor.
         reactor: The reactor.
     """
     read = gatewaysettings.read_settings(path)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -1,4 +1,4 @@
-"""Makes the services of one gateway and ties them together."""
+"""Creates the services of one gateway and connects them."""
 
 from collections.abc import Callable
 import random
@@ -41,38 +41,40 @@
 from bulrushgrade_daemon import storeview
 
 ENDPOINT_READS_PER_BOUND = 2.2
-"""Reads of the endpoints' topic in a drain bound. Endpoints' heartbeats move
-the topic all the time, so a read that waits would return with each of them.
-One read that fails, with its time limit and the pause after it, still leaves
-the next within the bound."""
+"""Number of reads of the endpoints' topic per drain bound. Heartbeats of
+endpoints are appended to the topic all the time, so a long poll would return
+with each of them. After one failed read, with its timeout and the pause that
+follows, the next read is still within the bound."""
 
 WAITING_READS_PER_BOUND = 1.4
-"""Reads of the configuration, and of crashes, in their bounds when nothing
-changes. A read waits for a change and returns with it, and the host that read
-it notifies the others of its zone, so this only limits how long it takes to
-notice that a store, a path or a host went silent. One read more after that is
-still within the bound."""
+"""Number of reads of the configuration, and of crashes, per bound while
+nothing changes. These are long polls that return with a change, and the host
+that read the change notifies the other hosts of its zone. So this only limits
+how long it takes to detect that the store, the path to it or a host does not
+respond; one more read after that is still within the bound."""
 
 CRASHES_PAUSE_S = 0.1
-"""Between two reads of the topic of crashes. All hosts that had requests at an
-endpoint tell of its crash at the same time."""
+"""Time between two reads of the topic of crashes. All hosts that had requests
+at an endpoint report its crash at the same time, and one read gets several
+reports."""
 
 PEERS_WAIT_S = 15.0
-"""How long a read of the gateways' topic waits. It changes only when a host
-starts; until a peer is known, work is placed without its load report."""
+"""Duration of a long poll of the gateways' topic. The topic changes only when a
+host starts. Until a peer is known, requests are placed without its load."""
 
 PEERS_PAUSE_S = 1.0
-"""Between two reads of the gateways' topic. Where all hosts start together,
-the record of each would otherwise end a read of every other one."""
+"""Time between two reads of the gateways' topic. When all hosts start at the
+same time, each host's record would otherwise end a long poll of every other
+host."""
 
 MIN_HOSTS = 64
-"""Hosts that the fixed part of the retry budget is divided by at least. The
-settings don't tell how many there are, and a host that has just started does
-not know its peers yet."""
+"""Minimum number of hosts that the fixed part of the retry budget is divided
+by. The settings don't state the number of hosts, and a host that has just
+started does not know its peers yet."""
 
 HOST_HEADROOM_FACTOR = 2
-"""Times the known hosts that it is divided by where those are many: room for
-as many that start at the same moment."""
+"""Factor on the number of known hosts in the same division. It allows for as
+many hosts again that start at the same moment."""
 
 _DEFAULT_LIMITS = routing.CallerLimits(
     max_header_bytes=16384,
@@ -84,18 +86,18 @@
 
 @attrs.frozen(kw_only=True)
 class Context:
-    """What the services are made from.
+    """What the services depend on.
 
     Attributes:
         reactor: The reactor.
-        adapter: Ties them to the platform.
-        kernel: Registers them.
-        log: Takes the lines of decisions.
-        rng: Source of random choices.
-        settings: Returns the settings in force.
+        adapter: The platform-specific functions.
+        kernel: Starts, stops and dumps the services.
+        log: Receives structured log lines.
+        rng: Random number generator.
+        settings: Returns the current settings.
         stopping: Returns whether the gateway is stopping.
-        ends_in_s: Returns the seconds that are left for requests that come
-            now; None where there is no limit.
+        ends_in_s: Returns the seconds left for requests that arrive now, or
+            None if there is no limit.
     """
 
     reactor: Any
@@ -112,10 +114,10 @@
     """The services of one gateway, registered with its kernel."""
 
     def __init__(self, *, context: Context):
-        """Makes them; none is started.
+        """Creates and registers the services without starting them.
 
         Args:
-            context: What they are made from.
+            context: What they depend on.
         """
         self._context = context
         self._own_name = (
@@ -162,72 +164,72 @@
 
     @property
     def metrics(self) -> metrics.Metrics:
-        """Takes and renders counts."""
+        """Collects and renders metrics."""
         return self._metrics
 
     @property
     def timers(self) -> clock.TimerService:
-        """Calls those that subscribed."""
+        """The clock and the timers of all services."""
         return self._timers
 
     @property
     def view(self) -> storeview.StoreView:
-        """What is believed of the store."""
+        """The last known content of the store."""
         return self._view
 
     @property
     def follow_configuration(self) -> follower.Follower:
-        """Follows the configuration."""
+        """Reads the configuration's topic."""
         return self._follow_configuration
 
     @property
     def follow_endpoints(self) -> follower.Follower:
-        """Follows the endpoints."""
+        """Reads the endpoints' topic."""
         return self._follow_endpoints
 
     @property
     def follow_crashes(self) -> follower.Follower:
-        """Follows which requests were at endpoints that crashed."""
+        """Reads the topic of crashes."""
         return self._follow_crashes
 
     @property
     def crash_sharing(self) -> crashsharing.CrashSharing:
-        """Shares what this host saw of that."""
+        """Writes and applies records of requests at crashed endpoints."""
         return self._crash_sharing
 
     @property
     def forwarder(self) -> forwarder.Forwarder:
-        """Serves requests."""
+        """Forwards callers' requests to endpoints."""
         return self._forwarder
 
     @property
     def front(self) -> front.Front:
-        """The side towards callers."""
+        """The HTTP server for callers."""
         return self._front
 
     @property
     def crashes(self) -> crashwatch.CrashWatch:
-        """Notices endpoints that end."""
+        """Detects crashed endpoints."""
         return self._crashes
 
     @property
     def cache_watch(self) -> cachewatch.CacheWatch:
-        """Follows engines' caches."""
+        """Reads the cache changes of engines."""
         return self._cache_watch
 
     @property
     def index(self) -> placementindex.PlacementIndex:
-        """Asks peers where long prompts are best read."""
+        """Queries peers for the best engines to prefill long prompts."""
         return self._index
 
     @property
     def tasks(self) -> operatortasks.OperatorTasks:
-        """What one host at a time does for the operator."""
+        """Usage reports and capacity orders, made by one host at a time."""
         return self._tasks
 
     @property
     def stage_control(self) -> stagecontrol.StageControl:
-        """Orders engines to change roles."""
+        """Orders engines to change between prefill and decode."""
         return self._stage_control
 
     def _make_view(self) -> None:
@@ -247,7 +249,7 @@
             pause_s=0.0,
             take=self._view.take_configuration,
             take_all=self._view.take_configuration,
-            # It holds callers' keys.
+            # The records contain callers' keys.
             keeps_records=False,
         )
         self._follow_endpoints = self._topics.follow(
@@ -256,7 +258,8 @@
             wait_s=0.0,
             pause_s=bounds.drain_s / ENDPOINT_READS_PER_BOUND,
             read_essence=self._view.read_essence,
-            # Who orders engines about has to know that it reaches the store.
+            # The host that sends orders to engines must read by itself, to
+            # know whether it can reach the store.
             must_read=lambda: self._gossip.fleet.is_first(),
             take=self._view.take_endpoints,
             take_all=self._view.take_all_endpoints,
@@ -479,7 +482,7 @@
         self._link.broadcast(notice)
 
     def _may_order(self) -> bool:
-        """Returns whether this host could append to the topic of orders."""
+        """Returns whether this host can append to the topic of orders."""
         return (
             self._follow_endpoints.reaches and not self._context.is_stopping()
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaysettings.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaysettings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway, read from INI and checked before anything opens."""
+"""Settings of a gateway, validated before any address is opened."""
 
 from typing import Any
 
@@ -17,10 +17,10 @@
 
 @attrs.frozen(kw_only=True)
 class Host:
-    """Section ``[host]``: which host this is.
+    """Section ``[host]``: the identity of this host.
 
     Attributes:
-        name: A name for logs, unique among the hosts.
+        name: The host's name in logs, unique among the hosts.
         zone: Its availability zone.
     """
 
@@ -33,10 +33,10 @@
     """Section ``[listen]``: the addresses that the gateway opens.
 
     Attributes:
-        callers: For callers.
-        ready: Where the balancer asks whether to send callers.
-        admin: For operators: metrics and dumps.
-        peers: For datagrams of other gateways.
+        callers: Serves callers' requests.
+        ready: Serves the readiness checks of the load balancer.
+        admin: Serves metrics and dumps to operators.
+        peers: Receives datagrams from other gateways.
     """
 
     callers: keys.Address = _key(keys.address(0))
@@ -50,7 +50,7 @@
     """Section ``[store]``: the platform's store.
 
     Attributes:
-        address: Where it is.
+        address: The store's address.
     """
 
     address: keys.Address = _key(keys.address(1))
@@ -58,20 +58,21 @@
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """Section ``[bounds]``: what operators were promised.
+    """Section ``[bounds]``: limits that the operator relies on.
 
     Attributes:
-        drain_s: After an endpoint is seen to leave, how long it may still
-            get work.
-        configuration_s: How soon a configuration is in force everywhere.
-        contact_s: How soon a host that was cut off, or has just started, is
-            to know what all others know.
-        stop_s: What a process has from SIGTERM to SIGKILL.
-        retry_ratio: Retries for each request to a service, over all hosts.
-        retry_extra: Retries a window beside, over all hosts.
+        drain_s: Maximum time for which an endpoint may still get work after
+            it was seen to leave.
+        configuration_s: Maximum time until all hosts use a new
+            configuration.
+        contact_s: Maximum time until a host that was disconnected, or has
+            just started, knows what all others know.
+        stop_s: Time from SIGTERM to SIGKILL.
+        retry_ratio: Retries per request to a service, over all hosts.
+        retry_extra: Additional retries per window, over all hosts.
         retry_window_s: The length of that window.
-        order_lease_s: How far apart the orders of two hosts to an engine
-            have to be.
+        order_lease_s: Minimum time between the orders of two hosts to the
+            same engine.
     """
 
     drain_s: float = _key(keys.number(float, 0.05, 3600, "seconds"))
@@ -100,13 +101,13 @@
 
 @attrs.frozen(kw_only=True)
 class Operator:
-    """Section ``[operator]``: what one host at a time does for the operator.
+    """Section ``[operator]``: tasks that one host at a time does.
 
     Attributes:
-        address: Where calls go; None where none are wanted.
-        tasks: What is done.
-        usage_window_s: The length of the windows by which usage is counted.
-        usage_late_s: How long after a window's end its report is due.
+        address: The address of the operator's API, or None to make no calls.
+        tasks: The names of the enabled tasks.
+        usage_window_s: The length of the windows in which usage is counted.
+        usage_late_s: Time after a window's end until its report is due.
     """
 
     address: keys.Address | None = _key(keys.address(1), None)
@@ -123,13 +124,13 @@
 
     @property
     def orders_capacity(self) -> bool:
-        """Whether engines are ordered."""
+        """Whether engines are ordered from the operator."""
         return self.address is not None and ORDER_CAPACITY in self.tasks
 
 
 @attrs.frozen(kw_only=True)
 class GatewaySettings:
-    """The settings of one gateway, a section an attribute."""
+    """The settings of one gateway, with one attribute per section."""
 
     host: Host
     listen: Listen
@@ -154,10 +155,10 @@
 
     Args:
         text: The text.
-        file: What errors name as the file.
+        file: The file name that errors state.
 
     Returns:
-        The settings, or every error in them.
+        The settings, or all errors in them.
     """
     parsed = settings.parse_sections(text, file=file, sections=_SECTIONS)
     if isinstance(parsed, Failure):
@@ -166,7 +167,7 @@
 
 
 def read_settings(path: str) -> Result[GatewaySettings, settings.Errors]:
-    """Returns the settings in a file, or every error in it."""
+    """Returns the settings in a file, or all errors in it."""
     return settings.read_text(path).bind(
         lambda text: parse_settings(text, file=path)
     )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/keys.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/keys.py
@@ -1,4 +1,4 @@
-"""Kinds of value that a key of the settings takes, with their texts."""
+"""Types of values in settings files, with their parsers."""
 
 from collections.abc import Callable
 import ipaddress
@@ -17,8 +17,8 @@
     """An IP address with a port.
 
     Attributes:
-        host: The IP number, version 4 or 6, without brackets.
-        port: The TCP port; 0 has the system choose a free one.
+        host: The IPv4 or IPv6 address, without brackets.
+        port: The TCP or UDP port; 0 lets the system choose a free one.
     """
 
     host: str
@@ -26,7 +26,7 @@
 
     @property
     def is_unspecified(self) -> bool:
-        """Whether it stands for all addresses of the host."""
+        """Whether this is the wildcard address of all interfaces."""
         return ipaddress.ip_address(self.host).is_unspecified
 
     def __str__(self) -> str:
@@ -37,11 +37,12 @@
 
 @attrs.frozen(kw_only=True)
 class Kind:
-    """How a key's text becomes a value.
+    """A type of value in a settings file.
 
     Attributes:
-        expected: What a right text looks like, for a person.
-        parse: Returns the value of a text; raises ValueError on a wrong one.
+        expected: A description of valid texts, for error messages.
+        parse: Returns the value of a text; raises ValueError if the text is
+            invalid.
     """
 
     expected: str
@@ -51,19 +52,19 @@
 def parse_address(text: str, *, min_port: int = 1) -> Address:
     """Returns the address in a text such as ``10.0.0.7:8080``.
 
-    Host names are turned away: a lookup would make a daemon's start depend
-    on one more service, and could give another answer on every start.
+    Host names are rejected: a lookup would make a daemon's start depend on
+    one more service, and could return a different address on every start.
 
     Args:
-        text: IP:PORT, an IP of version 6 in brackets.
-        min_port: The smallest port that is allowed.
+        text: IP:PORT, with an IPv6 address in brackets.
+        min_port: The smallest allowed port.
 
     Raises:
-        ValueError: The text is no such address.
+        ValueError: The text is not such an address.
     """
     host, separator, port_text = text.rpartition(":")
     if not separator:
-        raise ValueError("no port")
+        raise ValueError("the address has no port")
     if host.startswith("[") and host.endswith("]"):
         host = str(ipaddress.IPv6Address(host[1:-1]))
     else:
@@ -77,7 +78,7 @@
 
 
 def address(min_port: int) -> Kind:
-    """Returns the kind of an address whose port is at least this."""
+    """Returns the type of an address whose port has a minimum."""
     return Kind(
         expected=f"IP:PORT with an IP number and a port {min_port} to 65535",
         parse=lambda text: parse_address(text, min_port=min_port),
@@ -85,18 +86,18 @@
 
 
 def number(kind: type, low: float, high: float, unit: str) -> Kind:
-    """Returns the kind of a number within bounds, both included.
+    """Returns the type of a number within inclusive bounds.
 
     Args:
         kind: ``int`` or ``float``.
-        low: The least value.
-        high: The greatest value.
-        unit: What the number counts, for a person.
+        low: The minimum.
+        high: The maximum.
+        unit: The unit of the number, for error messages.
     """
 
     def parse(text: str) -> Any:
         value = kind(text)
-        # A comparison with NaN is false, so NaN ends up here as well.
+        # Comparisons with NaN are false, so this also rejects NaN.
         if not low <= value <= high:
             raise ValueError("out of range")
         return value
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
@@ -1,4 +1,4 @@
-"""Appends records to the log in batches, a stream at a time."""
+"""Appends records to the log service in batches, one batch per stream."""
 
 from typing import Any
 
@@ -12,11 +12,13 @@
 from bulrushgrade_daemon import logclient
 from bulrushgrade_daemon import task
 
-# The log takes a few hundred appends a second in all. Records that come while
-# one request is under way go together in the next; so many at most, which
-# keeps a request far below the log's limit of a second.
+# Maximum number of records in one append request. The log accepts a few hundred
+# appends a second in total, so records that arrive while a request is pending
+# are sent together in the next one. This batch size keeps a request far below
+# the log's time limit of one second.
 MAX_BATCH = 100
-# Beyond this the log is not keeping up, and a caller is better told at once.
+# Maximum number of pending records of a stream. With more, the log does not
+# keep up, and it is better to fail at once.
 MAX_PENDING = 1000
 
 AppendResult = Result[int, logclient.NotStored | logclient.OutcomeUnknown]
@@ -29,7 +31,7 @@
 
 
 class LogWriter:
-    """Takes single records and appends them together."""
+    """Collects single records and appends them in batches."""
 
     name = "logwriter"
     requires = ("log",)
@@ -47,18 +49,18 @@
         return self._counts
 
     async def start(self) -> None:
-        """Needs nothing opened."""
+        """Does nothing; there is nothing to open."""
 
     async def stop(self) -> None:
-        """Appends nothing more; what waits has been given up by its owners."""
+        """Does nothing; the owners of pending records have given them up."""
 
     def receive(self, message: Any) -> None:
-        """Takes records whose fate its sender learns by reading the log."""
+        """Appends a record; its sender learns the result from the log."""
         if isinstance(message, record.Append):
             self.append(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and what waits, by stream."""
+        """Returns the counters and the number of pending records by stream."""
         pending = {s: len(w) for s, w in self._pending.items() if w}
         return {"waiting": pending, "counts": dict(self._counts)}
 
@@ -69,7 +71,7 @@
             append: The record.
 
         Returns:
-            Fires with its offset, or with what is known of a failure.
+            Fires with the record's offset, or with the failure.
         """
         pending = self._pending.setdefault(append.stream, [])
         if len(pending) >= MAX_PENDING:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatorcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatorcalls.py
@@ -1,4 +1,4 @@
-"""Calls that one host at a time makes for the operator."""
+"""Calls to the operator's API, made by one host at a time."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class CallOutcome(enum.Enum):
-    """What the operator's side says of a call."""
+    """The operator's answer to a call."""
 
     ACCEPTED = "taken"
     UNAVAILABLE = "none to be had"
@@ -26,9 +26,9 @@
     """Functions that make the calls.
 
     Attributes:
-        report_usage: Reports what began in a window; None where it is not
-            wanted.
-        order_capacity: Orders engines; None where it is not wanted.
+        report_usage: Reports the requests that started in a window; None if
+            usage is not reported.
+        order_capacity: Orders engines; None if engines are not ordered.
     """
 
     report_usage: (
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
@@ -1,4 +1,4 @@
-"""Makes the services that do the operator's tasks, as far as settings ask."""
+"""Creates the services that do tasks for the operator, if enabled."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class OperatorTasks:
-    """Usage reports and orders of engines."""
+    """Usage reports and capacity orders."""
 
     def __init__(
         self,
@@ -39,22 +39,24 @@
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes them.
+        """Creates the services that the settings enable.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
+            timers: The timer service; its clock runs during pauses.
             own_name: This daemon's incarnation.
-            settings: What is asked for.
-            settle_s: Until what an engine registers is known everywhere.
-            calls: Calls to the operator; None where none are wanted.
-            actions: Carries out what only one host at a time may do.
-            view: What is believed of the store.
-            gossip: Knows which daemons are there and which leads.
-            reaches_store: Returns whether the store answers this host.
-            may_order: Returns whether this host could do the tasks.
-            link: Sends to peers.
-            log: Gets a line for each report and order.
-            on_broken: Called with the reason where an invariant is broken.
+            settings: Section ``[operator]`` of the settings.
+            settle_s: Time until an engine's registration is known to all
+                hosts.
+            calls: Calls to the operator's API; None to make no calls.
+            actions: Performs actions that only one host at a time may do.
+            view: The last known content of the store.
+            gossip: Knows which daemons are present and which one is the
+                leader.
+            reaches_store: Returns whether this host can reach the store.
+            may_order: Returns whether this host is able to do the tasks.
+            link: Sends messages to peers.
+            log: Receives a line for each report and order.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._settle_s = settle_s
         self._gossip = gossip
@@ -93,13 +95,13 @@
 
     @property
     def services(self) -> list[Any]:
-        """Those that were made, to be registered."""
+        """The services that were created, to be registered."""
         made = self._usage, self._capacity
         return [service for service in made if service is not None]
 
     @property
     def counts(self) -> dict[str, int]:
-        """What came of reports and orders."""
+        """Number of reports and orders by service and outcome."""
         return {
             f"{service.name}: {outcome}": count
             for service in self.services
@@ -107,10 +109,10 @@
         }
 
     def is_leader(self) -> bool:
-        """Returns whether this host is the one that orders engines about.
+        """Returns whether this host sends orders to engines.
 
-        Who reports usage does, so that hosts don't wait for each other's turn
-        in the topic of orders.
+        If usage is reported, the reporter sends the orders too, so that hosts
+        don't wait for each other's turn in the topic of orders.
         """
         if self._usage is not None:
             return self._usage.is_reporter
@@ -119,11 +121,11 @@
     def record_run_start(
         self, workspace: workspaces.Workspace | None, at: float
     ) -> None:
-        """Counts a request that an endpoint began to run.
+        """Counts a request that an endpoint started to run.
 
         Args:
-            workspace: Whose it is; None counts for nobody.
-            at: When, by the steady clock.
+            workspace: The request's workspace; None is not counted.
+            at: When the run started, by the clock of the timer service.
         """
         if self._usage is not None:
             self._usage.record_run_start(workspace, at)
@@ -134,7 +136,7 @@
         | gatewaymessages.UsageTaken
         | gatewaymessages.UsageReporter,
     ) -> None:
-        """Takes a peer's message."""
+        """Handles a peer's message about usage reports."""
         if self._usage is not None:
             self._usage.receive(message)
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/orderrecords.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/orderrecords.py
@@ -1,4 +1,4 @@
-"""Records of the topic of orders, as they are appended."""
+"""Encoding of the records in the topic of orders."""
 
 import attrs
 import msgspec
@@ -32,13 +32,13 @@
 
 
 def serialize(record: OrderRecord) -> bytes:
-    """Returns a record's content."""
+    """Returns a record in its encoded form."""
     content = {"kind": _NAMES[type(record)], **attrs.asdict(record)}
     return msgspec.json.encode(content)
 
 
 def parse(content: bytes) -> OrderRecord | None:
-    """Returns the record of a content, None where it can't be read."""
+    """Returns a decoded record, or None if it cannot be decoded."""
     try:
         kind = _head_decoder.decode(content).kind
         return _decoders[kind].decode(content)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
@@ -1,4 +1,4 @@
-"""Lines of the log about single requests."""
+"""Log lines about single requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,22 +13,22 @@
 
 
 class RequestLog:
-    """Writes what became of requests that did not go as they should."""
+    """Logs requests that were refused, failed or late."""
 
     def __init__(
         self, *, log: decisionlog.DecisionLog, now: Callable[[], float]
     ):
-        """Makes a log.
+        """Creates a request log.
 
         Args:
-            log: Takes the lines.
-            now: Returns the present time in seconds.
+            log: Receives the lines.
+            now: Returns the current time in seconds.
         """
         self._log = log
         self._now = now
 
     def log_unconfigured(self, info: dialect.RequestInfo) -> None:
-        """Writes that no configuration is known yet."""
+        """Logs a refusal because no configuration is known yet."""
         self._log.note(
             "request_refused",
             request=info.request_id,
@@ -41,7 +41,7 @@
         route: routing.Route,
         ends_in_s: float,
     ) -> None:
-        """Writes that the process ends before a request would."""
+        """Logs a refusal because the process ends before the request would."""
         self._log.note(
             "request_refused",
             request=info.request_id,
@@ -53,7 +53,7 @@
     def log_quarantined(
         self, request: inflight.InFlight, crashes: int, left_s: float
     ) -> None:
-        """Writes that endpoints crashed under a request and its repeats."""
+        """Logs a refusal because the request has crashed endpoints before."""
         self._log.note(
             "request_refused",
             request=request.info.request_id,
@@ -71,7 +71,7 @@
         hostname: bytes,
         path: str,
     ) -> None:
-        """Writes that no route fits a request."""
+        """Logs that no route matches a request."""
         self._log.note(
             "no_route",
             request=info.request_id,
@@ -87,7 +87,7 @@
         version: int,
         denial: workspaces.Denial,
     ) -> None:
-        """Writes that a request bears no key that is in force."""
+        """Logs that a request has no valid key."""
         self._log.note(
             "request_unauthorized",
             request=info.request_id,
@@ -105,7 +105,7 @@
         *,
         again: bool,
     ) -> None:
-        """Writes that an attempt gave no whole answer."""
+        """Logs that an attempt ended without a complete answer."""
         now = self._now()
         run_fields = {}
         if ended.outcome is not attempts.Outcome.UNREACHED:
@@ -130,7 +130,7 @@
     def log_ended(
         self, request: inflight.InFlight, step: attempts.NextStep, reason: str
     ) -> None:
-        """Writes that no endpoint answered a request."""
+        """Logs that a request ended without an answer of an endpoint."""
         self._log.note(
             "request_ended",
             request=request.info.request_id,
@@ -150,12 +150,12 @@
         endpoint: directory.Registration,
         estimates: dict[str, Any],
     ) -> None:
-        """Writes that a stream began or went on too late.
+        """Logs that a stream started too late or paused for too long.
 
         Args:
-            request: Whose stream it is.
-            endpoint: Who generates it.
-            estimates: What is believed of that engine now.
+            request: The request that is answered with the stream.
+            endpoint: The endpoint that generates the stream.
+            estimates: The current estimates of that engine's state.
         """
         pace = request.pace
         first_s = pace.first_at - request.caller.arrived_at
@@ -173,11 +173,11 @@
         )
 
     def log_broken(self, request: inflight.InFlight | None, trace: str) -> None:
-        """Writes that a request's own task failed.
+        """Logs that the task of a request raised an exception.
 
         Args:
-            request: The request, None where it was not taken yet.
-            trace: Where and why it failed.
+            request: The request, or None if it was not admitted yet.
+            trace: The traceback.
         """
         fields = {}
         if request is not None:
@@ -188,7 +188,7 @@
         self._log.note("request_broken", **fields, trace=trace)
 
     def log_timed_out(self, request: inflight.InFlight) -> None:
-        """Writes that a request's time was up."""
+        """Logs that a request's deadline passed."""
         self._log.note(
             "request_timed_out",
             request=request.info.request_id,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
@@ -1,7 +1,8 @@
-"""Changes engines' roles when the queues call for it.
+"""Orders engines to change between prefill and decode as the load requires.
 
-One host at a time does so: the first by name of those that hear each other
-watches the queues, and the topic of orders decides whose turn it is.
+One host at a time does so. The leader, the first by name of the hosts that are
+in contact with each other, watches the load. If several hosts take themselves
+for the leader, the topic of orders decides which of them may send orders.
 """
 
 from collections.abc import Awaitable
@@ -24,17 +25,17 @@
 UNANSWERED = "no answer"
 
 CHECK_PERIOD_S = 0.25
-"""Between two checks of the queues."""
+"""Time between two checks of the load."""
 
 
 @attrs.frozen(kw_only=True)
 class EngineReport:
-    """What an engine says of itself.
+    """An engine's report of itself.
 
     Attributes:
         stage: Its role.
-        busy: Whether it carries out an order.
-        orders: How many orders it has taken since its start.
+        busy: Whether it is carrying out an order.
+        orders: Number of orders that it has accepted since its start.
     """
 
     stage: directory_module.Stage
@@ -44,14 +45,15 @@
 
 @attrs.frozen(kw_only=True)
 class StageOrder:
-    """An order as it is sent.
+    """An order to an engine to change its role.
 
     Attributes:
-        engine: Who is meant.
-        stage: The role to take.
-        holder: Who orders.
-        number: The order's number, which only grows.
-        expected_orders: Orders that the engine must have taken so far.
+        engine: The engine that receives the order.
+        stage: The new role.
+        holder: The incarnation of the host that sends the order.
+        number: The order's number; numbers only increase.
+        expected_orders: Number of orders that the engine must have accepted
+            before this one.
     """
 
     engine: directory_module.Registration
@@ -63,12 +65,12 @@
 
 @attrs.frozen(kw_only=True)
 class EngineControl:
-    """Asks engines and orders them about.
+    """Functions that query engines and send them orders.
 
     Attributes:
-        report: Returns what an engine says of itself.
-        order: Sends an order if a check, made in the turn of the write, says
-            yes; returns whether the engine takes it.
+        report: Returns an engine's report of itself.
+        order: Sends an order if a check, called immediately before the write,
+            allows it. Returns whether the engine accepts the order.
     """
 
     report: Callable[
@@ -82,7 +84,7 @@
 
 
 class StageControl:
-    """Watches the queues and orders changes."""
+    """Watches the load and orders role changes."""
 
     name = "stagecontrol"
     requires = ("timer",)
@@ -100,19 +102,19 @@
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
+            timers: The timer service; its clock runs during pauses.
             holder: This host's incarnation.
-            actions: Carries out what only one host at a time may do.
-            control: Asks engines and orders them about.
-            leads: Returns whether this host is the one to decide.
-            views: Returns what is known of the engines by service.
-            announce: Tells all hosts of a change and the seconds that it
-                takes.
-            log: Gets a line for each order.
-            on_broken: Called with the reason where an invariant is broken.
+            actions: Performs actions that only one host at a time may do.
+            control: Queries engines and sends them orders.
+            leads: Returns whether this host is the leader.
+            views: Returns the state of the engines by service.
+            announce: Notifies all hosts of a change and of its expected
+                duration in seconds.
+            log: Receives a line for each order.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._timers = timers
         self._holder = holder
@@ -130,23 +132,23 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Orders sent since the start."""
+        """Number of orders sent since the start."""
         return {"orders": self._orders_sent}
 
     async def start(self) -> None:
-        """Begins to watch."""
+        """Starts the periodic checks."""
         self._tick = self._timers.every(CHECK_PERIOD_S, self._check)
 
     async def stop(self) -> None:
-        """Watches no more."""
+        """Stops the periodic checks."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores all messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is watched."""
+        """Returns the smoothed load by service and the end of the topic."""
         plans = {
             name: {"wait_s": plan.wait_s, "crowding": plan.saturation}
             for name, plan in self._plans.items()
@@ -155,8 +157,9 @@
 
     def _check(self) -> None:
         if not self._leads():
-            # To look at every engine costs more than all else that an idle
-            # host does. Who comes to lead learns the means anew.
+            # Building the views of all engines costs more than everything
+            # else that an idle host does. A new leader starts with empty
+            # means.
             self._plans.clear()
             return
         for view in self._views():
@@ -185,7 +188,7 @@
             self._ordering = False
         now = self._timers.now
         if outcome in (ACCEPTED, UNANSWERED):
-            # An order without an answer may still be carried out.
+            # The engine may carry out an order that it did not answer.
             plan.record_change(view, now)
         else:
             plan.record_refusal(change.engine.id, view, now)
@@ -202,7 +205,7 @@
         )
 
     async def _order(self, change: stageplan.StageChange) -> str:
-        """Returns what came of it, for the log."""
+        """Orders a change; returns the outcome for the log."""
         report: EngineReport | None = None
 
         async def make() -> orderturn.OrderRecord | fencedactions.Withheld:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -1,13 +1,13 @@
-"""Counts what workspaces use and has one host report it.
+"""Counts requests by workspace and reports the counts from one host.
 
-Each daemon sends its counts of a window, whole and absolute, to the one that
-reports until that has all of them; a datagram that gets lost is sent again,
-and one that comes twice changes nothing. Who takes over as the one that
-reports gets them anew from all that still have them.
+Each daemon sends its complete, absolute counts of a window to the reporter
+until the reporter acknowledges them. A lost datagram is sent again, and a
+duplicate changes nothing. A new reporter receives the counts again from all
+daemons that still have them.
 
-Who reports is recorded in the topic of orders, and announced to all with the
-record's number. Daemons may disagree for a while on which of them could
-report; the largest number settles it, so that all counts go to one place.
+The reporter is recorded in the topic of orders, and announced to all daemons
+with the record's number. Daemons may disagree for a while on which of them are
+able to report; the largest number wins, so that all counts go to one daemon.
 """
 
 from collections.abc import Callable
@@ -33,29 +33,29 @@
 from bulrushgrade_daemon import task
 
 CHECK_PERIOD_S = 0.5
-"""Between two comparisons of clocks, and two looks at what is due."""
+"""Time between two clock samples, and between two checks for due reports."""
 
 CHECKS_PER_SEND = 2
-"""Checks between two times that counts are sent. What a daemon that is killed
-counted since the last time is lost."""
+"""Number of checks per send of counts. A daemon that is killed loses the counts
+since its last send."""
 
 REPORTER_TIMEOUT_S = 3.5
-"""After which one that reports and does not reply counts as gone: some replies
-get lost on bad links."""
+"""Time without a reply after which the reporter counts as gone. It allows for a
+few replies that get lost on bad links."""
 
 COLLECTION_S = 1.6
-"""Before who has just begun to report adds up: all daemons send their counts
-anew, one that misses the notice a second later."""
+"""Time for which a new reporter collects counts. All daemons send them again; a
+daemon that missed the notice does so a second later."""
 
 
 @attrs.frozen(kw_only=True)
 class _Reporter:
-    """Who reports, as far as a daemon has heard.
+    """The reporter that a daemon knows of.
 
     Attributes:
-        name: Its incarnation.
-        number: Of its last record that is known.
-        heard_at: When it was heard.
+        name: The reporter's incarnation.
+        number: The number of its last known record.
+        heard_at: When it was last heard from.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class UsageReporting:
-    """Counts requests, exchanges counts and reports them."""
+    """Counts requests, exchanges the counts with peers and reports them."""
 
     name = "usagereporting"
     requires = ("timer", "peerlink")
@@ -85,22 +85,21 @@
         on_broken: Callable[[str], None],
         time_of_day: Callable[[], float] = time.time,
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
+            timers: The timer service; its clock runs during pauses.
             own_name: This daemon's incarnation.
-            windows: How time is divided.
-            actions: Carries out what only one host at a time may do.
-            calls: Reports to the operator.
-            fleet: Which daemons are there.
-            may_order: Returns whether this daemon could report.
+            windows: The time windows in which usage is counted.
+            actions: Performs actions that only one host at a time may do.
+            calls: Calls to the operator's API.
+            fleet: Knows which daemons are present.
+            may_order: Returns whether this daemon is able to report.
             send: Sends a message to a peer.
             broadcast: Sends a message to all peers.
-            log: Gets a line for each report.
-            on_broken: Called with the reason where an invariant is broken.
-            time_of_day: Returns the seconds since 1970, by a clock that may
-                be set.
+            log: Receives a line for each report.
+            on_broken: Called with the reason when an invariant is broken.
+            time_of_day: Returns the Unix time; its clock may be set.
         """
         self._timers = timers
         self._own_name = own_name
@@ -121,7 +120,7 @@
         self._reports = usagewindows.UsageReports(
             holder=own_name, windows=windows, started_at=self._now
         )
-        # Windows that the one that reports has from this daemon.
+        # Windows of this daemon whose counts the reporter acknowledged.
         self._acknowledged: set[int] = set()
         self._acknowledged_by: str | None = None
         self._reporter: _Reporter | None = None
@@ -134,27 +133,27 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Reports by what came of them."""
+        """Number of reports by outcome."""
         return dict(self._outcomes)
 
     @property
     def is_reporter(self) -> bool:
-        """Whether this daemon is the one that reports."""
+        """Whether this daemon is the reporter."""
         reporter = self._reporter
         return reporter is not None and reporter.name == self._own_name
 
     async def start(self) -> None:
-        """Begins to exchange and report."""
+        """Starts to exchange and report counts."""
         self._tick = self._timers.every(CHECK_PERIOD_S, self._check)
 
     async def stop(self) -> None:
-        """Sends what was counted a last time."""
+        """Sends the counts a last time."""
         if self._tick is not None:
             self._tick.cancel()
         self._send_counts(self._now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is known of windows."""
+        """Returns the current window, the reporter and the outcome counts."""
         return {
             "window": self._windows.number(self._now),
             "reporter": self._find_reporter(),
@@ -165,17 +164,17 @@
     def record_run_start(
         self, workspace: workspaces.Workspace | None, at: float
     ) -> None:
-        """Counts a request that an endpoint began to run.
+        """Counts a request that an endpoint started to run.
 
         Args:
-            workspace: Whose it is; None counts for nobody.
-            at: When, by the steady clock.
+            workspace: The request's workspace; None is not counted.
+            at: When the run started, by the clock of the timer service.
         """
         if workspace is not None:
             self._meter.count_request(workspace.name, self._time.time_at(at))
 
     def receive(self, message: Any) -> None:
-        """Takes a peer's counts, its reply to counts, or that it reports."""
+        """Handles a peer's counts, acknowledgement or notice as reporter."""
         match message:
             case gatewaymessages.UsageCounts():
                 self._receive_counts(message)
@@ -207,10 +206,10 @@
         elif self._may_order() and not self._action_running:
             self._start_action(now)
 
-    # Who reports.
+    # Choice of the reporter.
 
     def _find_reporter(self) -> str:
-        """Returns who reports, or who should begin to."""
+        """Returns the reporter, or the daemon that should become it."""
         reporter = self._reporter
         if reporter is None:
             return self._fleet.first_able()
@@ -220,7 +219,7 @@
         return self._fleet.first_able()
 
     def _observe_reporter(self, name: str, number: int) -> None:
-        """Notes the number of somebody's last record; 0 if it has none."""
+        """Takes in a daemon's last record number; 0 if it is no reporter."""
         known = self._reporter
         if number == 0:
             if known is not None and known.name == name:
@@ -237,7 +236,7 @@
         )
         self._broadcast(notice)
 
-    # Counts on their way to the one that reports.
+    # Sending counts to the reporter.
 
     def _send_counts(self, now: float) -> None:
         reporter = self._find_reporter()
@@ -266,10 +265,10 @@
         )
 
     def _open_windows(self, now: float) -> list[int]:
-        """Returns the windows that the one that reports may still need.
+        """Returns the windows whose counts the reporter may still need.
 
-        Those that ended before this daemon's start are left out: it knows
-        nothing of them, which is not that nothing began.
+        Windows that ended before this daemon's start are left out: it has no
+        counts of them, which must not be reported as zero usage.
         """
         newest = self._windows.number(now)
         oldest = max(
@@ -316,19 +315,19 @@
         task.spawn(work, name=self.name, on_broken=self._on_broken)
 
     def _next_record(self) -> usagewindows.UsageRecord | None:
-        """Returns what to report now, from all counts that can be had."""
+        """Returns the record to report now; None while counts are collected."""
         reporter_for_s = self._timers.now - self._reporter_since
         if reporter_for_s < COLLECTION_S:
             return None
         return self._reports.next_record(self._now, self._fleet.there)
 
     async def _become_reporter(self) -> None:
-        """Becomes the one that reports."""
+        """Records this daemon as the reporter."""
 
         async def make() -> (
             usagewindows.ReporterRecord | fencedactions.Withheld
         ):
-            # Somebody's record may have come to light just now.
+            # The read before this call may have found another reporter.
             if self._find_reporter() != self._own_name:
                 return fencedactions.Withheld(reason="another host reports")
             return usagewindows.ReporterRecord(holder=self._own_name)
--- a/packages/bulrushgrade_daemon/tests/test_clock.py
+++ b/packages/bulrushgrade_daemon/tests/test_clock.py
@@ -7,11 +7,11 @@
 
 
 def test_time_of_day_that_jumps_back_delays_no_timer(monkeypatch):
-    """The time of day is set back by seconds on a host that serves.
+    """The time of day is set back on a serving host.
 
-    Twisted times its calls by the time of day. Every timer of the process
-    stood still for as long as the jump: the view of endpoints was not read,
-    and requests went to one that had long left.
+    Twisted schedules its calls by the time of day, so all timers of the
+    process stopped for the length of the jump. The endpoints were not read
+    again, and requests were sent to an endpoint that had left long before.
     """
     jumped_s = [0.0]
     real = base.ReactorBase.seconds
--- a/packages/bulrushgrade_daemon/tests/test_decisionlog.py
+++ b/packages/bulrushgrade_daemon/tests/test_decisionlog.py
@@ -1,4 +1,4 @@
-"""Tests of the log of decisions."""
+"""Tests of the structured log."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 class Sink:
-    """Takes lines until it is full."""
+    """Accepts bytes until its capacity is used up."""
 
     def __init__(self, capacity=10**9):
         self.capacity = capacity
@@ -50,7 +50,7 @@
 def test_flood_is_bounded_and_counted():
     """An endpoint fails every request of a flood.
 
-    A line each would be a second load on the host just when it is busy.
+    Logging each of them would add load to a host that is already busy.
     """
     sink, now = Sink(), [0.0]
     log = make(sink, now)
@@ -73,9 +73,9 @@
 
 
 def test_slow_reader_never_blocks_the_process():
-    """Whoever reads the output stalls, and its pipe is full.
+    """The reader of the output stalls, and its pipe is full.
 
-    A write that waited would stop every request of this host.
+    A blocking write would stop all requests of this host.
     """
     sink, now = Sink(capacity=150), [0.0]
     log = make(sink, now)
--- a/packages/bulrushgrade_daemon/tests/test_fencedactions.py
+++ b/packages/bulrushgrade_daemon/tests/test_fencedactions.py
@@ -1,4 +1,4 @@
-"""Tests of actions that only one host at a time may carry out."""
+"""Tests of actions that only one host at a time may perform."""
 
 import fakes
 from returns.result import Failure
@@ -21,7 +21,7 @@
 
 
 class Scene:
-    """One host's actions before a topic with prepared answers."""
+    """One host's actions, with a topic of prepared answers."""
 
     def __init__(self, *, read=(0, ()), append=(1,)):
         self.reactor, self.timers, _ = fakes.make_timers()
@@ -63,7 +63,7 @@
 
 
 def test_number_of_zero_is_never_sent():
-    """Guards against receivers that take zero for a missing number."""
+    """Some receivers treat the number zero as missing."""
     scene = Scene(append=(0, 1))
     scene.perform()
     assert [at for _, at in scene.append.calls] == [0, 1]
@@ -81,7 +81,7 @@
 
 
 def test_waiting_for_the_turn_reads_nothing():
-    """Guards against calls to the store with each check of a waiting host."""
+    """A waiting host must not call the store with each of its checks."""
     scene = Scene(read=(0, (orderrecords.serialize(usage(6, "other")),)))
     scene.perform()
     scene.perform()
--- a/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
+++ b/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
@@ -1,4 +1,4 @@
-"""Tests of ordering engines to change their role."""
+"""Tests of orders to engines to change their role."""
 
 import attrs
 import fakes
@@ -33,7 +33,7 @@
 
 
 class Scene:
-    """One host's control with prepared answers."""
+    """Stage control of one host, with prepared answers."""
 
     def __init__(self, *, read=None, append=1, report=REPORT, leads=True):
         self.reactor, timers, self.broken = fakes.make_timers()
@@ -123,7 +123,7 @@
 
 
 def test_host_that_does_not_lead_builds_no_engine_views():
-    """Guards against work for every engine on every host all the time."""
+    """Building engine views is expensive, and only the leader needs them."""
     scene = Scene(leads=False)
     scene.pump(5.0)
     assert scene.views_made == 0
@@ -140,10 +140,10 @@
 
 
 def test_lost_append_sends_nothing():
-    """The append's answer is lost; the record may be there or not.
+    """The append's answer is lost, so the record may be stored or not.
 
-    An order without a number that is its own would be one of two with the
-    same number.
+    An order sent without a known offset could have the same number as another
+    order.
     """
     away = Failure(topicreader.StoreAway(reason="timeout"))
     scene = Scene(append=away)
@@ -159,10 +159,10 @@
 
 
 def test_pause_between_append_and_write_sends_nothing():
-    """The host is paused after its append, for seconds.
+    """The host is paused for seconds after its append.
 
-    Another host's turn may have come meanwhile; the check in the turn of the
-    write sees how much time has passed.
+    Another host's turn may have begun in that time. The check immediately
+    before the write detects how much time has passed.
     """
     scene = Scene()
     scene.before_send = lambda: scene.reactor.advance(2.0)
--- a/packages/bulrushgrade_daemon/tests/test_usagereporting.py
+++ b/packages/bulrushgrade_daemon/tests/test_usagereporting.py
@@ -1,4 +1,4 @@
-"""Tests of counting usage on many hosts and reporting it by one."""
+"""Tests of usage counts of many hosts that one host reports."""
 
 import collections
 
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Daemons with one log, one operator and links that may lose messages."""
+    """Daemons with a shared topic, an operator and links that lose messages."""
 
     def __init__(self, *names):
         self.reactor, self.timers, _ = fakes.make_timers()
@@ -34,7 +34,7 @@
         self.loses = lambda peer, message: False
         self.daemons = {}
         self.unable = set()
-        # Who each daemon takes for unable, where its view is old.
+        # Daemons that a daemon with an old view believes to be unable.
         self.believed_unable = {}
         self.clock_steps = collections.Counter()
         for name in names:
@@ -115,7 +115,7 @@
 
 
 class View:
-    """Which daemons are there, as one of them sees it."""
+    """One daemon's view of which daemons are present."""
 
     def __init__(self, *, fleet, own_name):
         self._fleet = fleet
@@ -149,7 +149,7 @@
 
 
 def test_lost_messages_lose_no_counts():
-    """Guards against counts that are gone with one datagram."""
+    """A single lost datagram must not lose counts."""
     fleet = Fleet("a", "b")
     carried = []
 
@@ -166,7 +166,7 @@
 
 
 def test_successor_reports_what_the_others_still_have():
-    """The host that reports is killed; only its own counts may be lost."""
+    """The reporter is killed; only its own counts may be lost."""
     fleet = Fleet("a", "b", "c")
     for _ in range(20):
         fleet.begin("b")
@@ -181,12 +181,16 @@
 
 
 def test_successor_reports_what_it_had_sent_to_the_one_before():
-    """Guards against counts that are lost as their own host takes over."""
+    """A daemon that becomes the reporter must not lose its own counts.
+
+    Its counts were acknowledged by the previous reporter, which was killed
+    before it reported them.
+    """
     fleet = Fleet("a", "b", "c")
     fleet.loses = lambda peer, message: message.peer == "c"
     fleet.begin("b", count=7)
     fleet.pass_time(6.8)
-    # It has all of what the second host counted, and waits for the third.
+    # The first host has all counts of the second and waits for the third.
     assert fleet.reports == {}
     fleet.kill("a")
     fleet.loses = lambda peer, message: False
@@ -205,7 +209,10 @@
 
 
 def test_window_that_nobody_was_there_for_is_not_reported():
-    """Guards against reports of no usage after all hosts were killed."""
+    """Without counts, a window must not be reported as zero usage.
+
+    All hosts were killed in it, so that none of them has its counts.
+    """
     fleet = Fleet("a", "b")
     fleet.begin("b", count=3)
     fleet.pass_time(3.0)
@@ -232,7 +239,11 @@
 
 
 def test_report_without_an_answer_is_repeated_as_it_was():
-    """Guards against a second report of a window that differs."""
+    """Two reports of one window must have the same counts.
+
+    A report got no answer, and more requests were counted before it was sent
+    again.
+    """
     fleet = Fleet("a", "b")
     fleet.answer = Failure(outbound.CallFailed(written=True, reason="timeout"))
     fleet.begin("b", count=3)
@@ -248,9 +259,10 @@
 
 
 def test_daemons_that_disagree_on_who_is_able_send_to_one_place():
-    """The first host was cut from the store; only some hosts know it is back.
+    """Counts must not be split between two daemons that would both report.
 
-    Guards against counts that are split between two that would report.
+    The first host was disconnected from the store and is back, and only some
+    hosts know that.
     """
     fleet = Fleet("a", "b", "c", "d")
     fleet.pass_time(8.0)
@@ -273,7 +285,7 @@
 
 
 def test_reports_stay_with_who_reports_while_that_one_can():
-    """Guards against a change of who reports each time the first returns."""
+    """The reporter must not change each time the first host returns."""
     fleet = Fleet("b", "c")
     fleet.pass_time(8.0)
     fleet.start("a")
