--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -306,7 +306,7 @@
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
     ) -> None:
-        def handle_result(result: logwriter.Stored) -> None:
+        def handle_result(result: logwriter.AppendResult) -> None:
             if isinstance(result, Failure) and isinstance(
                 result.failure(), logclient.NotStored
             ):
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -1,4 +1,4 @@
-"""Makes the services of one gateway and ties them together."""
+"""Creates the services of one gateway and connects them."""
 
 from collections.abc import Callable
 import random
@@ -40,39 +40,41 @@
 from bulrushgrade_daemon import storetopics
 from bulrushgrade_daemon import storeview
 
-ENDPOINT_READS_A_BOUND = 2.2
-"""Reads of the endpoints' topic in a drain bound. Endpoints' heartbeats move
-the topic all the time, so a read that waits would return with each of them.
-One read that fails, with its time limit and the pause after it, still leaves
-the next within the bound."""
+ENDPOINT_READS_PER_BOUND = 2.2
+"""Number of reads of the endpoints' topic per drain bound. Heartbeats of
+endpoints are appended to the topic all the time, so a long poll would return
+with each of them. After one failed read, with its timeout and the pause that
+follows, the next read is still within the bound."""
 
-WAITING_READS_A_BOUND = 1.4
-"""Reads of the configuration, and of crashes, in their bounds when nothing
-changes. A read waits for a change and returns with it, and the host that read
-it notifies the others of its zone, so this only limits how long it takes to
-notice that a store, a path or a host went silent. One read more after that is
-still within the bound."""
+WAITING_READS_PER_BOUND = 1.4
+"""Number of reads of the configuration, and of crashes, per bound while
+nothing changes. These are long polls that return with a change, and the host
+that read the change notifies the other hosts of its zone. So this only limits
+how long it takes to detect that the store, the path to it or a host does not
+respond; one more read after that is still within the bound."""
 
 CRASHES_PAUSE_S = 0.1
-"""Between two reads of the topic of crashes. All hosts that had requests at an
-endpoint tell of its crash at the same time."""
+"""Time between two reads of the topic of crashes. All hosts that had requests
+at an endpoint report its crash at the same time, and one read gets several
+reports."""
 
 PEERS_WAIT_S = 15.0
-"""How long a read of the gateways' topic waits. It changes only when a host
-starts; until a peer is known, work is placed without its load report."""
+"""Duration of a long poll of the gateways' topic. The topic changes only when a
+host starts. Until a peer is known, requests are placed without its load."""
 
 PEERS_PAUSE_S = 1.0
-"""Between two reads of the gateways' topic. Where all hosts start together,
-the record of each would otherwise end a read of every other one."""
+"""Time between two reads of the gateways' topic. When all hosts start at the
+same time, each host's record would otherwise end a long poll of every other
+host."""
 
-LEAST_HOSTS = 64
-"""Hosts that the fixed part of the retry budget is divided by at least. The
-settings don't tell how many there are, and a host that has just started does
-not know its peers yet."""
+MIN_HOSTS = 64
+"""Minimum number of hosts that the fixed part of the retry budget is divided
+by. The settings don't state the number of hosts, and a host that has just
+started does not know its peers yet."""
 
-HOSTS_SPARED = 2
-"""Times the known hosts that it is divided by where those are many: room for
-as many that start at the same moment."""
+HOST_HEADROOM_FACTOR = 2
+"""Factor on the number of known hosts in the same division. It allows for as
+many hosts again that start at the same moment."""
 
 _DEFAULT_LIMITS = routing.CallerLimits(
     max_header_bytes=16384,
@@ -84,18 +86,18 @@
 
 @attrs.frozen(kw_only=True)
 class Context:
-    """What the services are made from.
+    """What the services depend on.
 
     Attributes:
         reactor: The reactor.
-        adapter: Ties them to the platform.
-        kernel: Registers them.
-        log: Takes the lines of decisions.
-        rng: Source of random choices.
-        settings: Returns the settings in force.
+        adapter: The platform-specific functions.
+        kernel: Starts, stops and dumps the services.
+        log: Receives structured log lines.
+        rng: Random number generator.
+        settings: Returns the current settings.
         stopping: Returns whether the gateway is stopping.
-        ends_in_s: Returns the seconds that are left for requests that come
-            now; None where there is no limit.
+        ends_in_s: Returns the seconds left for requests that arrive now, or
+            None if there is no limit.
     """
 
     reactor: Any
@@ -104,7 +106,7 @@
     log: decisionlog.DecisionLog
     rng: random.Random
     settings: Callable[[], gatewaysettings.GatewaySettings]
-    stopping: Callable[[], bool]
+    is_stopping: Callable[[], bool]
     ends_in_s: Callable[[], float | None]
 
 
@@ -112,10 +114,10 @@
     """The services of one gateway, registered with its kernel."""
 
     def __init__(self, *, context: Context):
-        """Makes them; none is started.
+        """Creates and registers the services without starting them.
 
         Args:
-            context: What they are made from.
+            context: What they depend on.
         """
         self._context = context
         self._own_name = (
@@ -138,7 +140,7 @@
         self._make_chooser()
         self._make_crash_sharing()
         self._make_forwarding()
-        self._make_sharing()
+        self._make_gossip()
         self._make_stage_control()
         self._tasks = self._make_operator_tasks()
         for service in (
@@ -162,72 +164,72 @@
 
     @property
     def metrics(self) -> metrics.Metrics:
-        """Takes and renders counts."""
+        """Collects and renders metrics."""
         return self._metrics
 
     @property
     def timers(self) -> clock.TimerService:
-        """Calls those that subscribed."""
+        """The clock and the timers of all services."""
         return self._timers
 
     @property
     def view(self) -> storeview.StoreView:
-        """What is believed of the store."""
+        """The last known content of the store."""
         return self._view
 
     @property
     def follow_configuration(self) -> follower.Follower:
-        """Follows the configuration."""
+        """Reads the configuration's topic."""
         return self._follow_configuration
 
     @property
     def follow_endpoints(self) -> follower.Follower:
-        """Follows the endpoints."""
+        """Reads the endpoints' topic."""
         return self._follow_endpoints
 
     @property
     def follow_crashes(self) -> follower.Follower:
-        """Follows which requests were at endpoints that crashed."""
+        """Reads the topic of crashes."""
         return self._follow_crashes
 
     @property
     def crash_sharing(self) -> crashsharing.CrashSharing:
-        """Shares what this host saw of that."""
+        """Writes and applies records of requests at crashed endpoints."""
         return self._crash_sharing
 
     @property
     def forwarder(self) -> forwarder.Forwarder:
-        """Serves requests."""
+        """Forwards callers' requests to endpoints."""
         return self._forwarder
 
     @property
     def front(self) -> front.Front:
-        """The side towards callers."""
+        """The HTTP server for callers."""
         return self._front
 
     @property
     def crashes(self) -> crashwatch.CrashWatch:
-        """Notices endpoints that end."""
+        """Detects crashed endpoints."""
         return self._crashes
 
     @property
     def cache_watch(self) -> cachewatch.CacheWatch:
-        """Follows engines' caches."""
+        """Reads the cache changes of engines."""
         return self._cache_watch
 
     @property
     def index(self) -> placementindex.PlacementIndex:
-        """Asks peers where long prompts are best read."""
+        """Queries peers for the best engines to prefill long prompts."""
         return self._index
 
     @property
     def tasks(self) -> operatortasks.OperatorTasks:
-        """What one host at a time does for the operator."""
+        """Usage reports and capacity orders, made by one host at a time."""
         return self._tasks
 
     @property
     def stage_control(self) -> stagecontrol.StageControl:
-        """Orders engines to change roles."""
+        """Orders engines to change between prefill and decode."""
         return self._stage_control
 
     def _make_view(self) -> None:
@@ -243,20 +245,21 @@
         self._follow_configuration = self._topics.follow(
             "configuration",
             context.adapter.configuration_reader,
-            wait_s=bounds.configuration_s / WAITING_READS_A_BOUND,
+            wait_s=bounds.configuration_s / WAITING_READS_PER_BOUND,
             pause_s=0.0,
             take=self._view.take_configuration,
             take_all=self._view.take_configuration,
-            # It holds callers' keys.
+            # The records contain callers' keys.
             keeps_records=False,
         )
         self._follow_endpoints = self._topics.follow(
             "endpoints",
             context.adapter.endpoint_reader,
             wait_s=0.0,
-            pause_s=bounds.drain_s / ENDPOINT_READS_A_BOUND,
+            pause_s=bounds.drain_s / ENDPOINT_READS_PER_BOUND,
             read_essence=self._view.read_essence,
-            # Who orders engines about has to know that it reaches the store.
+            # The host that sends orders to engines must read by itself, to
+            # know whether it can reach the store.
             must_read=lambda: self._gossip.fleet.is_first(),
             take=self._view.take_endpoints,
             take_all=self._view.take_all_endpoints,
@@ -304,7 +307,7 @@
         self._follow_crashes = self._topics.follow(
             "crashes",
             topic.reader,
-            wait_s=bounds.contact_s / WAITING_READS_A_BOUND,
+            wait_s=bounds.contact_s / WAITING_READS_PER_BOUND,
             pause_s=CRASHES_PAUSE_S,
             take=self._crash_sharing.take_records,
             take_all=self._crash_sharing.take_all,
@@ -355,7 +358,7 @@
             ),
             new_share=self._new_share,
             observe=self._observe_answer,
-            note_begun=lambda w, at: self._tasks.note_begun(w, at),
+            note_begun=lambda w, at: self._tasks.record_run_start(w, at),
         )
         self._front = front.Front(
             reactor=context.reactor,
@@ -366,7 +369,7 @@
             handle=self._forwarder.handle,
         )
 
-    def _make_sharing(self) -> None:
+    def _make_gossip(self) -> None:
         context = self._context
         sharing = cachesharing.CacheSharing(
             endpoints=self._view.endpoints, work=self._work
@@ -390,7 +393,7 @@
             read_own=self._work.shares,
             may_order=self._may_order,
             take_changes=sharing.take_advertised,
-            take_other=self._take_message,
+            take_other=self._dispatch,
             log=context.log,
         )
         sharing.advertise_by(self._gossip)
@@ -423,9 +426,9 @@
             holder=self._own_name,
             actions=self._actions,
             control=context.adapter.engine_control,
-            leads=lambda: self._tasks.leads(),
+            leads=lambda: self._tasks.is_leader(),
             views=self._chooser.engine_views,
-            announce=self._announce_stage,
+            announce=self._announce_role_change,
             log=context.log,
             on_broken=context.kernel.fail,
         )
@@ -448,7 +451,7 @@
             on_broken=context.kernel.fail,
         )
 
-    def _take_message(self, message: gatewaymessages.Message) -> None:
+    def _dispatch(self, message: gatewaymessages.Message) -> None:
         match message:
             case gatewaymessages.RoleChangeNotice(engine, stage, change_ms):
                 self._chooser.note_stage_change(engine, stage, change_ms / 1000)
@@ -467,7 +470,7 @@
             case _:
                 self._index.receive(message)
 
-    def _announce_stage(
+    def _announce_role_change(
         self, change: stageplan.StageChange, change_s: float
     ) -> None:
         notice = gatewaymessages.RoleChangeNotice(
@@ -475,12 +478,14 @@
             stage=change.stage,
             change_ms=round(change_s * 1000),
         )
-        self._take_message(notice)
+        self._dispatch(notice)
         self._link.broadcast(notice)
 
     def _may_order(self) -> bool:
-        """Returns whether this host could append to the topic of orders."""
-        return self._follow_endpoints.reaches and not self._context.stopping()
+        """Returns whether this host can append to the topic of orders."""
+        return (
+            self._follow_endpoints.reaches and not self._context.is_stopping()
+        )
 
     def _new_share(self) -> retryshare.RetryShare:
         bounds = self._context.settings().bounds
@@ -491,7 +496,7 @@
         )
 
     def _retry_extra(self) -> float:
-        hosts = max(LEAST_HOSTS, HOSTS_SPARED * self._link.known_hosts)
+        hosts = max(MIN_HOSTS, HOST_HEADROOM_FACTOR * self._link.known_hosts)
         return self._context.settings().bounds.retry_extra / hosts
 
     def _observe_answer(self, kind: str, took_s: float) -> None:
