--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerpass.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
@@ -30,16 +30,18 @@
     return status >= http.INTERNAL_SERVER_ERROR or status in PROMISES_NOT_RUN
 
 
-async def take_failure(
+async def read_failure(
     request: inflight.InFlight, dialect: dialect_module.Dialect
 ) -> inflight.AttemptEnd:
     """Reads an endpoint's failure, to be passed on if nothing better comes."""
-    answer = request.call
+    answer = request.endpoint_answer
     parts: list[bytes] = []
     end = await answer.read(parts.append)
     if not end.whole:
         return inflight.AttemptEnd(
-            outcome=attempts.Outcome.LOST, reason=end.reason, broke_off=True
+            outcome=attempts.Outcome.LOST,
+            reason=end.reason,
+            connection_lost=True,
         )
     failure = inflight.EndpointFailure(
         status=answer.status,
@@ -57,7 +59,7 @@
     )
 
 
-async def pass_whole(
+async def forward_whole(
     request: inflight.InFlight,
     dialect: dialect_module.Dialect,
     on_heard: Callable[[], None],
@@ -67,7 +69,7 @@
     Returns:
         None where the caller has got all of it.
     """
-    caller, answer = request.caller, request.call
+    caller, answer = request.caller, request.endpoint_answer
     held: list[bytes] = []
     size = 0
 
@@ -86,7 +88,9 @@
     end = await answer.read(take)
     if not end.whole:
         return inflight.AttemptEnd(
-            outcome=attempts.Outcome.LOST, reason=end.reason, broke_off=True
+            outcome=attempts.Outcome.LOST,
+            reason=end.reason,
+            connection_lost=True,
         )
     if caller.gone:
         return None
@@ -98,7 +102,7 @@
     return None
 
 
-async def pass_events(
+async def forward_events(
     request: inflight.InFlight,
     dialect: dialect_module.Dialect,
     on_heard: Callable[[], None],
@@ -115,7 +119,11 @@
     Returns:
         None where the caller has got all of them.
     """
-    caller, splitter, answer = request.caller, request.splitter, request.call
+    caller, splitter, answer = (
+        request.caller,
+        request.splitter,
+        request.endpoint_answer,
+    )
     splitter.drop_partial()
     if request.history.begun:
         caller.pace(answer.producer)
@@ -138,7 +146,7 @@
         return inflight.AttemptEnd(
             outcome=attempts.Outcome.BROKEN_STREAM,
             reason=end.reason or "ended within an event",
-            broke_off=True,
+            connection_lost=True,
         )
     if caller.gone:
         return None
@@ -150,8 +158,8 @@
 
 def _begin(request: inflight.InFlight, dialect: dialect_module.Dialect) -> None:
     request.history.begun = True
-    fields = dialect.write_answer_fields(request.call.headers)
+    fields = dialect.write_answer_fields(request.endpoint_answer.headers)
     # A caller that reads slowly stops the endpoint instead of filling the
     # memory of this process.
-    request.caller.pace(request.call.producer)
-    request.caller.begin(request.call.status, fields, None)
+    request.caller.pace(request.endpoint_answer.producer)
+    request.caller.begin(request.endpoint_answer.status, fields, None)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachesharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachesharing.py
@@ -27,8 +27,8 @@
         # Parts that peers know to be kept, by engine.
         self._advertised: dict[tuple[str, int], set[str]] = {}
 
-    def advertise_by(self, gossip: loadgossip.LoadGossip) -> None:
-        """Sets what advertises; it needs `take_advertised` when it is made."""
+    def set_gossip(self, gossip: loadgossip.LoadGossip) -> None:
+        """Sets what advertises; it needs `apply_advertised` when it is made."""
         self._gossip = gossip
 
     def followed_engines(self) -> list[directory_module.Registration]:
@@ -46,7 +46,7 @@
         }
         return found
 
-    def take_seen(
+    def apply_observed(
         self,
         engine: directory_module.Registration,
         changes: tuple[enginecache.CacheChange, ...],
@@ -79,7 +79,7 @@
             return True
         return False
 
-    def take_advertised(
+    def apply_advertised(
         self, engine: str, changes: tuple[enginecache.CacheChange, ...]
     ) -> None:
         """Takes what a peer saw of an engine."""
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 
 from bulrushgrade import serviceindex
-from bulrushgrade_daemon import intake
+from bulrushgrade_daemon import jobbuilder
 from bulrushgrade_daemon import plain
 from bulrushgrade_daemon import plainrelay
 from bulrushgrade_daemon import refusal
@@ -72,7 +72,7 @@
         self._settings = settings
         self._limits = settings.limits
         self._parts = parts
-        self._intake = intake.Intake(
+        self._job_builder = jobbuilder.JobBuilder(
             timers=parts.timers,
             service_index=parts.service_index,
             prefix=f"{settings.host.name}-{incarnation}",
@@ -155,7 +155,7 @@
         for path in (request_module.COMPLETIONS, request_module.CHAT):
             app.route(path, methods=["POST"])(self._complete)
         app.route(
-            f"{intake.SERVICES_PREFIX}<path:rest>",
+            f"{jobbuilder.SERVICES_PREFIX}<path:rest>",
             methods=list(METHODS),
             merge_slashes=False,
         )(self._call)
@@ -186,7 +186,7 @@
 
     def _complete(self, http_request: Any) -> Any:
         self._counts["model"] += 1
-        job_or_refusal = self._admit() or self._intake.make_model_job(
+        job_or_refusal = self._admit() or self._job_builder.make_model_job(
             http_request
         )
         if isinstance(job_or_refusal, refusal.Refusal):
@@ -209,7 +209,7 @@
 
     def _call(self, http_request: Any, rest: str) -> Any:
         self._counts["plain"] += 1
-        job = self._admit() or self._intake.make_plain_job(http_request)
+        job = self._admit() or self._job_builder.make_plain_job(http_request)
         if isinstance(job, refusal.Refusal):
             self._counts["bad"] += 1
             return reply.refuse(http_request, job)
@@ -250,7 +250,7 @@
         return answered
 
     def _prepare(self, http_request: Any, job: Any) -> None:
-        http_request.setHeader(intake.REQUEST_HEADER, job.caller_id)
+        http_request.setHeader(jobbuilder.REQUEST_HEADER, job.caller_id)
         if self._stopping:
             http_request.setHeader("Connection", "close")
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -151,7 +151,7 @@
             **self.counts,
         }
 
-    def take_crash(self, crash: crashwatch.Crash) -> None:
+    def observe_crash(self, crash: crashwatch.Crash) -> None:
         """Takes a crash that this host saw."""
         now = self._timers.now
         for run in crash.runs:
@@ -174,7 +174,7 @@
         self._note_changes()
         self._begin_to_write()
 
-    def note_whole(self, fingerprint: str) -> None:
+    def observe_completion(self, fingerprint: str) -> None:
         """Notes that a request has run to its end."""
         for key in self._ledger.clear(fingerprint):
             self._own.pop(key, None)
@@ -182,7 +182,7 @@
         self._note_changes()
         self._begin_to_write()
 
-    def take_records(
+    def apply_records(
         self, records: tuple[topicreader.KeyedRecord, ...]
     ) -> None:
         """Takes records of the topic in their order."""
@@ -190,12 +190,14 @@
             self._take_record(record)
         self._note_changes()
 
-    def take_all(self, records: tuple[topicreader.KeyedRecord, ...]) -> None:
+    def apply_snapshot(
+        self, records: tuple[topicreader.KeyedRecord, ...]
+    ) -> None:
         """Takes the newest record of every key.
 
         What this host saw and the store does not have is written again.
         """
-        self.take_records(records)
+        self.apply_records(records)
         listed = {record.key for record in records if record.value is not None}
         for key, involvement in self._own.items():
             if crashrecords.write_key(key) not in listed:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class BrokenRun:
+class InterruptedRequest:
     """A request that was at an endpoint when that ended.
 
     Attributes:
@@ -60,7 +60,7 @@
         waiting: Those that wait until it is.
     """
 
-    runs: list[BrokenRun]
+    runs: list[InterruptedRequest]
     waiting: list[defer.Deferred] = attrs.field(factory=list)
 
 
@@ -75,7 +75,7 @@
     """
 
     endpoint: directory.Registration
-    runs: tuple[BrokenRun, ...]
+    runs: tuple[InterruptedRequest, ...]
     reason: str
 
 
@@ -88,7 +88,7 @@
         timers: Any,
         check: Callable[[directory.Registration], Awaitable[str | None]],
         is_leaving: Callable[[directory.Registration], bool],
-        take_crash: Callable[[Crash], None],
+        on_crash: Callable[[Crash], None],
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
@@ -100,14 +100,14 @@
                 takes one.
             is_leaving: Returns whether an endpoint was seen to leave; its end
                 is then no crash.
-            take_crash: Takes each crash, in one part or several.
+            on_crash: Takes each crash, in one part or several.
             log: Gets a line for each.
             on_broken: Called with the reason where an invariant is broken.
         """
         self._timers = timers
         self._check = check
         self._is_leaving = is_leaving
-        self._take_crash = take_crash
+        self._on_crash = on_crash
         self._log = log
         self._on_broken = on_broken
         # By incarnation, until its endpoint was checked.
@@ -119,12 +119,12 @@
         """Checks, crashes that they found, and requests that were there."""
         return dict(self._counts)
 
-    def note(self, request: inflight.InFlight) -> None:
+    def observe_broken_answer(self, request: inflight.InFlight) -> None:
         """Notes that the answer of the endpoint that a request is at broke."""
         endpoint = request.endpoint
         if self._is_leaving(endpoint):
             return
-        run = BrokenRun(
+        run = InterruptedRequest(
             fingerprint=request.fingerprint,
             caller_id=request.caller_id,
             request_id=request.info.request_id,
@@ -142,7 +142,7 @@
         elif len(unchecked.runs) < MOST_RUNS:
             unchecked.runs.append(run)
 
-    async def settle(self, endpoint: directory.Registration) -> None:
+    async def wait_for_check(self, endpoint: directory.Registration) -> None:
         """Waits until an endpoint that was noted is checked, or for long."""
         unchecked = self._unchecked.get(endpoint.incarnation)
         if unchecked is None:
@@ -171,7 +171,7 @@
     def _note_crash(
         self,
         endpoint: directory.Registration,
-        runs: list[BrokenRun],
+        runs: list[InterruptedRequest],
         reason: str,
     ) -> None:
         self._counts["crashes"] += 1
@@ -195,4 +195,4 @@
             ],
         )
         crash = Crash(endpoint=endpoint, runs=tuple(runs), reason=reason)
-        self._take_crash(crash)
+        self._on_crash(crash)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
@@ -103,7 +103,7 @@
             return inflight.AttemptEnd(
                 outcome=attempts.Outcome.UNREAD,
                 reason=f"prefill: status {sent.status} {end.reason}",
-                broke_off=not end.whole,
+                connection_lost=not end.whole,
             )
         return dialect_module.PrefilledBy(
             address=f"{engine.host}:{engine.port}", handle=found.handle
@@ -127,15 +127,15 @@
             ),
             connect_timeout_s=CONNECT_TIMEOUT_S,
             timeout_s=FREE_TIMEOUT_S,
-            max_bytes=outbound.MAX_REFUSED_BODY_BYTES,
+            max_bytes=outbound.MAX_FETCHED_BODY_BYTES,
         )
         task.spawn(freeing, name="free", on_broken=self._on_broken)
 
-    async def find_refusal(
+    async def find_connect_error(
         self, endpoint: directory_module.Registration
     ) -> str | None:
         """Returns why an endpoint takes no connection, None where it does."""
-        return await outbound.find_refusal(
+        return await outbound.find_connect_error(
             self._reactor,
             endpoint.host,
             endpoint.port,
@@ -178,7 +178,9 @@
             if failed.written:
                 outcome = attempts.Outcome.LOST
             return inflight.AttemptEnd(
-                outcome=outcome, reason=failed.reason, broke_off=failed.written
+                outcome=outcome,
+                reason=failed.reason,
+                connection_lost=failed.written,
             )
         return sent.unwrap()
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/choosing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
@@ -21,7 +21,7 @@
 from bulrushgrade_daemon import placementindex
 
 
-class Chooser:
+class EndpointChooser:
     """Puts the view of endpoints, the balancer and the planners together."""
 
     def __init__(
@@ -71,7 +71,7 @@
             return
         if prompt.shared_tokens >= traits.long_tokens:
             for holder in await self._index.query_holders(prompt.anchor.id):
-                self._work.take_holder(holder, request.service)
+                self._work.apply_holder(holder, request.service)
         engines = self._planner(request.service).prefill_candidates(
             self._plan_input(request, traits)
         )
@@ -115,14 +115,14 @@
         )
         return request.plan.decode
 
-    def describe_lack(self, request: inflight.InFlight) -> str:
+    def explain_no_endpoint(self, request: inflight.InFlight) -> str:
         """Returns why no endpoint was chosen, for logs."""
         traits, prompt = self._work.traits(request.service), request.info.prompt
         if traits and prompt and prompt.prompt_tokens > traits.memory_tokens:
             return "prompt larger than an engine's memory"
         return "no endpoint"
 
-    def choose_receiver(
+    def choose_decoder(
         self, request: inflight.InFlight
     ) -> directory_module.Registration | None:
         """Returns who generates from a prompt that has just been read.
@@ -185,13 +185,13 @@
         """Notes that a request is no longer there."""
         self._balancer.end(endpoint.incarnation)
 
-    def succeeded(
+    def observe_success(
         self, endpoint: directory_module.Registration, latency_s: float
     ) -> None:
         """Notes a whole answer and how long it took to begin."""
         self._balancer.succeeded(endpoint.incarnation, latency_s)
 
-    def failed(
+    def observe_failed_attempt(
         self,
         request: inflight.InFlight,
         endpoint: directory_module.Registration,
@@ -202,7 +202,7 @@
         if self._is_full(endpoint, ended.outcome):
             return
         is_certain = ended.outcome is attempts.Outcome.MISDIRECTED
-        if self.note_failure(endpoint, is_certain=is_certain):
+        if self.observe_failure(endpoint, is_certain=is_certain):
             self._log.note(
                 "endpoint_ejected",
                 endpoint=endpoint.id,
@@ -228,7 +228,7 @@
         unreached = outcome is attempts.Outcome.UNREACHED
         return unreached and self._work.is_streaming(endpoint)
 
-    def note_failure(
+    def observe_failure(
         self,
         endpoint: directory_module.Registration,
         *,
@@ -280,7 +280,7 @@
             if engine in sound or fleet.has_peer_streams(engine, now)
         ]
 
-    def note_stage_change(
+    def record_stage_change(
         self, engine: str, stage: directory_module.Stage, change_s: float
     ) -> None:
         """Notes that an engine was ordered to change its role.
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class StreamNotes:
+class StreamObserver:
     """What takes note of an answer that is generated.
 
     Attributes:
@@ -53,7 +53,7 @@
         timers: Any,
         table: Callable[[], routing.RouteTable | None],
         endpoints: directory_module.Directory,
-        others: peerloads.PeerLoads,
+        peers: peerloads.PeerLoads,
         index: placementindex.PlacementIndex,
     ):
         """Makes a state without work.
@@ -62,13 +62,13 @@
             timers: The timer service.
             table: Returns the routes in force, or None before the first.
             endpoints: The endpoints that are known.
-            others: What other daemons have at engines.
+            peers: What other daemons have at engines.
             index: Where long readings are reported.
         """
         self._timers = timers
         self._table = table
         self._endpoints = endpoints
-        self._others = others
+        self._peers = peers
         self._index = index
         self._fleets: dict[str, enginefleet.EngineFleet] = {}
 
@@ -81,7 +81,7 @@
         """Returns what is known of a service's engines."""
         fleet = self._fleets.get(service)
         if fleet is None:
-            fleet = enginefleet.EngineFleet(peers=self._others)
+            fleet = enginefleet.EngineFleet(peers=self._peers)
             self._fleets[service] = fleet
         return fleet
 
@@ -129,7 +129,7 @@
             "expected_pause_s": round(there.pause_s, 3),
         }
 
-    def take_holder(
+    def apply_holder(
         self,
         holder: prefixindex.PrefixHolder,
         service: str,
@@ -171,11 +171,11 @@
         self,
         request: inflight.InFlight,
         engine: directory_module.Registration,
-    ) -> StreamNotes:
+    ) -> StreamObserver:
         """Notes an answer that an engine is to generate."""
         traits = self.traits(request.service)
         if request.plan is None or traits is None:
-            return StreamNotes()
+            return StreamObserver()
         fleet = self.fleet(request.service)
         streams = fleet.load(engine, traits).streams
         prompt_tokens = request.info.prompt.prompt_tokens
@@ -202,14 +202,14 @@
                     stream.generated_tokens // traits.event_tokens
                 )
 
-        return StreamNotes(events=note_events, ended=ended)
+        return StreamObserver(events=note_events, ended=ended)
 
-    def note_reading(
+    def begin_work(
         self,
         request: inflight.InFlight,
         engine: directory_module.Registration,
         *,
-        reads: bool,
+        prefills: bool,
     ) -> Callable[[bool], None]:
         """Notes work at an engine; returns what notes how it ended.
 
@@ -219,7 +219,7 @@
         Args:
             request: The request.
             engine: Who works on it now.
-            reads: Whether it reads the prompt or takes over what was read.
+            prefills: Whether it reads the prompt or takes over what was read.
         """
         plan, traits = request.plan, self.traits(request.service)
         if plan is None or traits is None:
@@ -227,7 +227,7 @@
         fleet = self.fleet(request.service)
         load = fleet.load(engine, traits)
         prompt = request.info.prompt
-        reading = _make_reading(request, self._timers.now, reads=reads)
+        reading = _make_reading(request, self._timers.now, prefills=prefills)
         report_end = self._report_begin(engine, reading, prompt, traits)
         load.begin(reading)
 
@@ -261,11 +261,11 @@
 
 
 def _make_reading(
-    request: inflight.InFlight, now: float, *, reads: bool
+    request: inflight.InFlight, now: float, *, prefills: bool
 ) -> engineload.PendingPrefill:
     plan, prompt = request.plan, request.info.prompt
     urgency = request.urgency
-    if not reads:
+    if not prefills:
         return engineload.PendingPrefill(
             expected_s=plan.transfer_s,
             sent_at=now,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -1,7 +1,7 @@
 """Serves callers' requests, each until it has its answer.
 
 The forwarder runs a request's attempts; what follows from each is decided by
-`bulrushgrade.attempts`, and who gets the request by `choosing`.
+`bulrushgrade.attempts`, and who gets the request by `endpointchooser`.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 from bulrushgrade import retryshare
 from bulrushgrade import routing
 from bulrushgrade import workspaces
-from bulrushgrade_daemon import answerpass
-from bulrushgrade_daemon import choosing
+from bulrushgrade_daemon import answerforwarding
 from bulrushgrade_daemon import crashwatch
 from bulrushgrade_daemon import dialect as dialect_module
 from bulrushgrade_daemon import endpointcalls
+from bulrushgrade_daemon import endpointchooser
 from bulrushgrade_daemon import enginework
 from bulrushgrade_daemon import front
 from bulrushgrade_daemon import inflight
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Parts:
+class Dependencies:
     """What the forwarder works with.
 
     Attributes:
@@ -57,8 +57,8 @@
         calls: Sends requests to them.
         crashes: Notices endpoints that end.
         ledger: What is known of crashes of endpoints.
-        note_whole: Takes the fingerprint of a request that was at crashes
-            and has run to its end.
+        observe_completion: Takes the fingerprint of a request that was at
+            crashes and has run to its end.
         log: Gets a line for each decision that is out of the ordinary.
         rng: Source of random choices.
         on_broken: Called with the reason where an invariant is broken.
@@ -67,12 +67,12 @@
     timers: Any
     admission: requestadmission.RequestAdmission
     dialect: dialect_module.Dialect
-    chooser: choosing.Chooser
+    chooser: endpointchooser.EndpointChooser
     work: enginework.EngineWork
     calls: endpointcalls.EndpointCalls
     crashes: crashwatch.CrashWatch
     ledger: crashledger.CrashLedger
-    note_whole: Callable[[str], None]
+    observe_completion: Callable[[str], None]
     log: requestlog.RequestLog
     rng: random.Random
     on_broken: Callable[[str], None]
@@ -87,36 +87,38 @@
     def __init__(
         self,
         *,
-        parts: Parts,
-        new_share: Callable[[], retryshare.RetryShare],
-        note_begun: Callable[[workspaces.Workspace | None, float], None],
-        observe: Callable[[str, float], None] = lambda route, took_s: None,
+        dependencies: Dependencies,
+        make_retry_share: Callable[[], retryshare.RetryShare],
+        record_run_start: Callable[[workspaces.Workspace | None, float], None],
+        observe_latency: Callable[[str, float], None] = lambda route, took_s: (
+            None
+        ),
     ):
         """Makes the service.
 
         Args:
-            parts: What it works with.
-            new_share: Returns the retry budget of a service met anew.
-            observe: Takes the kind of a route and the seconds that an answer
-                took.
-            note_begun: Takes whose request an endpoint began to run, and
+            dependencies: What it works with.
+            make_retry_share: Returns the retry budget of a service met anew.
+            observe_latency: Takes the kind of a route and the seconds that an
+                answer took.
+            record_run_start: Takes whose request an endpoint began to run, and
                 when.
         """
-        self._timers = parts.timers
-        self._dialect = parts.dialect
-        self._chooser = parts.chooser
-        self._work = parts.work
-        self._calls = parts.calls
-        self._crashes = parts.crashes
-        self._admission = parts.admission
-        self._ledger = parts.ledger
-        self._note_whole = parts.note_whole
-        self._log = parts.log
-        self._rng = parts.rng
-        self._on_broken = parts.on_broken
-        self._new_share = new_share
-        self._observe = observe
-        self._note_begun = note_begun
+        self._timers = dependencies.timers
+        self._dialect = dependencies.dialect
+        self._chooser = dependencies.chooser
+        self._work = dependencies.work
+        self._calls = dependencies.calls
+        self._crashes = dependencies.crashes
+        self._admission = dependencies.admission
+        self._ledger = dependencies.ledger
+        self._observe_completion = dependencies.observe_completion
+        self._log = dependencies.log
+        self._rng = dependencies.rng
+        self._on_broken = dependencies.on_broken
+        self._make_retry_share = make_retry_share
+        self._observe_latency = observe_latency
+        self._record_run_start = record_run_start
         self._shares: dict[str, retryshare.RetryShare] = {}
         self._open: set[inflight.InFlight] = set()
         self._counts: dict[str, int] = {}
@@ -190,7 +192,7 @@
             await self._chooser.query_peers(request)
             endpoint = self._chooser.choose(request)
             if endpoint is None:
-                lack = self._chooser.describe_lack(request)
+                lack = self._chooser.explain_no_endpoint(request)
                 self._finish(request, None, lack)
                 return
             late_s = self._predicted_lateness_s(request)
@@ -199,7 +201,7 @@
                 return
             request.endpoint = endpoint
             ended = await self._attempt(request)
-            if request.over:
+            if request.is_over:
                 raise defer.CancelledError()
             if ended is None:
                 self._note_answered(request)
@@ -231,8 +233,8 @@
         except defer.CancelledError:
             # An endpoint whose host vanished closes no connection; its
             # callers leave, or their time is up.
-            if request.silent_s(self._timers.now) >= SILENT_S:
-                self._crashes.note(request)
+            if request.silence_s(self._timers.now) >= SILENT_S:
+                self._crashes.observe_broken_answer(request)
             raise
         finally:
             request.sent_at = None
@@ -246,7 +248,7 @@
         engine = request.plan.prefill
         # Whatever fails until it has read is its failure, not the receiver's.
         request.endpoint = engine
-        ended = self._work.note_reading(request, engine, reads=True)
+        ended = self._work.begin_work(request, engine, prefills=True)
         prefilled = None
         try:
             prefilled = await self._calls.prefill(request, engine)
@@ -255,9 +257,9 @@
         if isinstance(prefilled, inflight.AttemptEnd):
             return prefilled
         self._count("prefilled")
-        request.read_at = self._timers.now
+        request.prefilled_at = self._timers.now
         try:
-            receiver = self._chooser.choose_receiver(request)
+            receiver = self._chooser.choose_decoder(request)
             request.endpoint = receiver or request.plan.decode
             if receiver is None:
                 return inflight.AttemptEnd(
@@ -278,15 +280,15 @@
         endpoint = request.endpoint
         began = self._timers.now
         self._chooser.begin(endpoint)
-        ended = self._work.note_reading(
-            request, endpoint, reads=prefilled is None
+        ended = self._work.begin_work(
+            request, endpoint, prefills=prefilled is None
         )
         stream = self._work.begin_stream(request, endpoint)
 
         def note_events(count: int) -> None:
             self._note_first_run(request, self._timers.now)
             stream.events(count)
-            request.pace.note(self._timers.now)
+            request.pace.observe_events(self._timers.now)
 
         try:
             sent = await self._calls.run(request, endpoint, prefilled)
@@ -294,17 +296,17 @@
                 self._note_first_run(request, began)
             if isinstance(sent, inflight.AttemptEnd):
                 return sent
-            request.call = sent
+            request.endpoint_answer = sent
             request.answer_began_at = self._timers.now
             latency_s = request.answer_began_at - began
             failed = await self._pass(request, lambda: ended(True), note_events)
             if failed is None:
-                self._chooser.succeeded(endpoint, latency_s)
+                self._chooser.observe_success(endpoint, latency_s)
             return failed
         finally:
-            if request.call is not None:
-                request.call.abort()
-            request.call = None
+            if request.endpoint_answer is not None:
+                request.endpoint_answer.abort()
+            request.endpoint_answer = None
             self._chooser.end(endpoint)
             if request.is_late:
                 self._count("late")
@@ -316,7 +318,7 @@
     def _note_first_run(self, request: inflight.InFlight, at: float) -> None:
         if not request.is_counted:
             request.is_counted = True
-            self._note_begun(request.workspace, at)
+            self._record_run_start(request.workspace, at)
 
     async def _pass(
         self,
@@ -324,15 +326,17 @@
         on_heard: Callable[[], None],
         on_events: Callable[[int], None],
     ) -> inflight.AttemptEnd | None:
-        status = request.call.status
-        if answerpass.is_failure(status):
-            return await answerpass.take_failure(request, self._dialect)
+        status = request.endpoint_answer.status
+        if answerforwarding.is_failure(status):
+            return await answerforwarding.read_failure(request, self._dialect)
         is_stream = request.route.kind is routing.RequestKind.STREAM
         if is_stream and status == http.OK:
-            return await answerpass.pass_events(
+            return await answerforwarding.forward_events(
                 request, self._dialect, on_heard, on_events
             )
-        return await answerpass.pass_whole(request, self._dialect, on_heard)
+        return await answerforwarding.forward_whole(
+            request, self._dialect, on_heard
+        )
 
     async def _goes_on(
         self, request: inflight.InFlight, ended: inflight.AttemptEnd
@@ -341,10 +345,10 @@
         endpoint = request.endpoint
         request.history.note(ended.outcome)
         self._count(f"attempt_{ended.outcome.value}")
-        self._chooser.failed(request, endpoint, ended)
-        if ended.broke_off:
-            self._crashes.note(request)
-            await self._crashes.settle(endpoint)
+        self._chooser.observe_failed_attempt(request, endpoint, ended)
+        if ended.connection_lost:
+            self._crashes.observe_broken_answer(request)
+            await self._crashes.wait_for_check(endpoint)
             request.avoid_zones = self._ledger.zones(request.fingerprint)
         again = self._may_try_again(request)
         self._log.note_attempt(request, endpoint, ended, again=again)
@@ -429,14 +433,14 @@
     def _note_answered(self, request: inflight.InFlight) -> None:
         self._count("answered")
         if len(self._ledger) and self._ledger.involvements(request.fingerprint):
-            self._note_whole(request.fingerprint)
+            self._observe_completion(request.fingerprint)
         took_s = self._timers.now - request.caller.arrived_at
-        self._observe(request.route.kind.value, took_s)
+        self._observe_latency(request.route.kind.value, took_s)
 
     def _share(self, service: str) -> retryshare.RetryShare:
         share = self._shares.get(service)
         if share is None:
-            share = self._new_share()
+            share = self._make_retry_share()
             self._shares[service] = share
         return share
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -16,12 +16,12 @@
 from bulrushgrade_daemon import adapter as adapter_module
 from bulrushgrade_daemon import cachesharing
 from bulrushgrade_daemon import cachewatch
-from bulrushgrade_daemon import choosing
 from bulrushgrade_daemon import clock
 from bulrushgrade_daemon import crashsharing
 from bulrushgrade_daemon import crashwatch
 from bulrushgrade_daemon import decisionlog
 from bulrushgrade_daemon import endpointcalls
+from bulrushgrade_daemon import endpointchooser
 from bulrushgrade_daemon import enginework
 from bulrushgrade_daemon import fencedactions
 from bulrushgrade_daemon import follower
@@ -274,10 +274,10 @@
             timers=self._timers,
             table=lambda: self._view.table,
             endpoints=self._view.endpoints,
-            others=self._peer_loads,
+            peers=self._peer_loads,
             index=self._index,
         )
-        self._chooser = choosing.Chooser(
+        self._chooser = endpointchooser.EndpointChooser(
             timers=self._timers,
             zone=context.settings().host.zone,
             table=lambda: self._view.table,
@@ -306,8 +306,8 @@
             topic.reader,
             wait_s=bounds.contact_s / WAITING_READS_A_BOUND,
             pause_s=CRASHES_PAUSE_S,
-            take=self._crash_sharing.take_records,
-            take_all=self._crash_sharing.take_all,
+            take=self._crash_sharing.apply_records,
+            take_all=self._crash_sharing.apply_snapshot,
         )
 
     def _make_forwarding(self) -> None:
@@ -320,9 +320,9 @@
         )
         self._crashes = crashwatch.CrashWatch(
             timers=self._timers,
-            check=calls.find_refusal,
+            check=calls.find_connect_error,
             is_leaving=self._view.endpoints.is_leaving,
-            take_crash=self._crash_sharing.take_crash,
+            on_crash=self._crash_sharing.observe_crash,
             log=context.log,
             on_broken=context.kernel.fail,
         )
@@ -339,7 +339,7 @@
             rng=context.rng,
         )
         self._forwarder = forwarder.Forwarder(
-            parts=forwarder.Parts(
+            dependencies=forwarder.Dependencies(
                 timers=self._timers,
                 admission=admission,
                 dialect=context.adapter.dialect,
@@ -348,14 +348,14 @@
                 calls=calls,
                 crashes=self._crashes,
                 ledger=self._ledger,
-                note_whole=self._crash_sharing.note_whole,
+                observe_completion=self._crash_sharing.observe_completion,
                 log=log,
                 rng=context.rng,
                 on_broken=context.kernel.fail,
             ),
-            new_share=self._new_share,
-            observe=self._observe_answer,
-            note_begun=lambda w, at: self._tasks.note_begun(w, at),
+            make_retry_share=self._new_share,
+            observe_latency=self._observe_answer,
+            record_run_start=lambda w, at: self._tasks.note_begun(w, at),
         )
         self._front = front.Front(
             reactor=context.reactor,
@@ -389,16 +389,16 @@
             loads=self._peer_loads,
             read_own=self._work.shares,
             may_order=self._may_order,
-            take_changes=sharing.take_advertised,
+            take_changes=sharing.apply_advertised,
             take_other=self._take_message,
             log=context.log,
         )
-        sharing.advertise_by(self._gossip)
+        sharing.set_gossip(self._gossip)
         self._cache_watch = cachewatch.CacheWatch(
             timers=self._timers,
             engines=sharing.followed_engines,
             read=context.adapter.read_cache_changes,
-            apply=sharing.take_seen,
+            apply=sharing.apply_observed,
             on_broken=context.kernel.fail,
         )
         self._follow_peers = self._topics.follow(
@@ -451,7 +451,9 @@
     def _take_message(self, message: gatewaymessages.Message) -> None:
         match message:
             case gatewaymessages.RoleChangeNotice(engine, stage, change_ms):
-                self._chooser.note_stage_change(engine, stage, change_ms / 1000)
+                self._chooser.record_stage_change(
+                    engine, stage, change_ms / 1000
+                )
             case (
                 gatewaymessages.RecordQuery()
                 | gatewaymessages.RecordReply()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -31,7 +31,7 @@
     last_at: float = 0.0
     longest_pause_s: float = 0.0
 
-    def note(self, now: float) -> None:
+    def observe_events(self, now: float) -> None:
         """Notes events that came now."""
         if self.first_at is None:
             self.first_at = now
@@ -53,12 +53,12 @@
         deadline: When it has to be answered.
         history: Its attempts.
         avoid: Endpoints that it must not go to again.
-        call: The answer that is being read, or None.
+        endpoint_answer: The answer that is being read, or None.
         splitter: Splits its events, for a stream.
         endpoint: Who had it last, or None.
         expired: Whether its deadline has passed.
         plan: Which engines have it, or None for a plain service.
-        read_at: When another engine had read its prompt; None where none did.
+        prefilled_at: When another engine had prefilled its prompt, or None.
         pace: When the events of its stream came.
         waits_s: How long it would wait at engines, from the owners of their
             queues.
@@ -81,14 +81,14 @@
         factory=attempts.AttemptHistory
     )
     avoid: frozenset[tuple[str, int]] = frozenset()
-    call: outbound.Answer | None = None
+    endpoint_answer: outbound.Answer | None = None
     splitter: eventstream.EventSplitter = attrs.field(
         factory=eventstream.EventSplitter
     )
     endpoint: directory.Registration | None = None
     expired: bool = False
     plan: placementplan.Plan | None = None
-    read_at: float | None = None
+    prefilled_at: float | None = None
     pace: StreamPace = attrs.field(factory=StreamPace)
     waits_s: Mapping[str, float] = attrs.field(factory=dict)
     urgency: int = attrs.field()
@@ -105,7 +105,7 @@
         return self.route.urgency
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether nobody waits for an answer any more."""
         return self.expired or self.caller.gone
 
@@ -137,9 +137,9 @@
     @property
     def read_after_s(self) -> float | None:
         """From its arrival until another engine had read its prompt."""
-        if self.read_at is None:
+        if self.prefilled_at is None:
             return None
-        return self.read_at - self.caller.arrived_at
+        return self.prefilled_at - self.caller.arrived_at
 
     @property
     def fingerprint(self) -> str:
@@ -170,7 +170,7 @@
         """Returns the time until its deadline."""
         return self.deadline - now
 
-    def silent_s(self, now: float) -> float:
+    def silence_s(self, now: float) -> float:
         """Returns since when nothing came of the attempt under way."""
         if self.sent_at is None:
             return 0.0
@@ -182,7 +182,7 @@
         return None if began_at is None else now - began_at
 
 
-def longest_wait_s(info: dialect.RequestInfo, route: routing.Route) -> float:
+def allowed_wait_s(info: dialect.RequestInfo, route: routing.Route) -> float:
     """Returns how long a request may be kept waiting."""
     if info.deadline_s is None:
         return route.timeout_s
@@ -212,10 +212,10 @@
         outcome: What is known of it.
         reason: For logs.
         failure: The endpoint's own failure, to be passed on; or None.
-        broke_off: Whether the connection ended before the answer did.
+        connection_lost: Whether the connection ended before the answer did.
     """
 
     outcome: attempts.Outcome
     reason: str
     failure: EndpointFailure | None = None
-    broke_off: bool = False
+    connection_lost: bool = False
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/intake.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/jobbuilder.py
@@ -26,7 +26,7 @@
 JSON_TYPE = "application/json"
 
 
-class Intake:
+class JobBuilder:
     """Reads requests by the documents in force and numbers them."""
 
     def __init__(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/outbound.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/outbound.py
@@ -30,7 +30,7 @@
 connection up. Endpoints are a few milliseconds away; the longest pause of a
 live link is a retransmission or two, of 200 and 400 ms."""
 
-MAX_REFUSED_BODY_BYTES = 65_536
+MAX_FETCHED_BODY_BYTES = 65_536
 """Of an answer that is read as a whole though it is not passed on."""
 
 
@@ -269,7 +269,7 @@
     return Success(Answer(client=client, response=response))
 
 
-async def find_refusal(
+async def find_connect_error(
     reactor: Any, host: str, port: int, *, connect_timeout_s: float
 ) -> str | None:
     """Returns why no connection could be opened, None where one was.
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
@@ -83,7 +83,7 @@
             caller.answer(http.UNAUTHORIZED, challenge, b"")
             return None
         route = table.with_workspace_priority(route, workspace)
-        waits_s = inflight.longest_wait_s(info, route)
+        waits_s = inflight.allowed_wait_s(info, route)
         ends_in_s = self._ends_in_s()
         if ends_in_s is not None and waits_s > ends_in_s:
             self._count("refused_stopping")
--- a/packages/bulrushgrade_daemon/tests/test_cachesharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachesharing.py
@@ -42,13 +42,13 @@
     endpoints.put(ENGINE, now=0.0)
     chooser, gossip = Chooser(), Gossip()
     sharing = cachesharing.CacheSharing(endpoints=endpoints, work=chooser)
-    sharing.advertise_by(gossip)
+    sharing.set_gossip(gossip)
     return sharing, chooser, gossip
 
 
 def see(sharing, part, tokens):
     change = enginecache.CacheChange(part=part, tokens=tokens)
-    sharing.take_seen(ENGINE, (change,), reset=False)
+    sharing.apply_observed(ENGINE, (change,), reset=False)
 
 
 def test_parts_that_come_and_go_are_advertised():
--- a/packages/bulrushgrade_daemon/tests/test_crashwatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashwatch.py
@@ -56,7 +56,7 @@
             timers=timers,
             check=self._check,
             is_leaving=lambda endpoint: endpoint.id in self.leaving,
-            take_crash=self.crashes.append,
+            on_crash=self.crashes.append,
             log=self.lines.make(),
             on_broken=self.broken.append,
         )
@@ -74,8 +74,8 @@
 def test_requests_of_one_crash_are_told_together_after_one_check():
     scene = Scene()
     scene.clock.advance(1.0)
-    scene.watch.note(make_request("r1", began_at=0.9))
-    scene.watch.note(make_request("r2", body=b""))
+    scene.watch.observe_broken_answer(make_request("r1", began_at=0.9))
+    scene.watch.observe_broken_answer(make_request("r2", body=b""))
     scene.settle()
     (crash,) = scene.crashes
     assert scene.checked == ["e1"]
@@ -93,9 +93,9 @@
 def test_answer_that_breaks_off_while_its_endpoint_is_checked_is_told_too():
     scene = Scene()
     scene.held = defer.Deferred()
-    scene.watch.note(make_request("r1"))
+    scene.watch.observe_broken_answer(make_request("r1"))
     scene.settle()
-    scene.watch.note(make_request("r2"))
+    scene.watch.observe_broken_answer(make_request("r2"))
     scene.held.callback(None)
     (crash,) = scene.crashes
     assert len(crash.runs) == 2
@@ -105,7 +105,7 @@
     """An endpoint tears an answer; its request was taken for harmful."""
     scene = Scene()
     scene.refusal = None
-    scene.watch.note(make_request("r1", began_at=0.0))
+    scene.watch.observe_broken_answer(make_request("r1", began_at=0.0))
     scene.settle()
     assert scene.checked == ["e1"]
     assert scene.crashes == []
@@ -115,7 +115,7 @@
     """An endpoint that drains ends with a request; that was to blame."""
     scene = Scene()
     scene.leaving.add("e1")
-    scene.watch.note(make_request("r1", began_at=0.0))
+    scene.watch.observe_broken_answer(make_request("r1", began_at=0.0))
     scene.settle()
     assert scene.checked == []
 
@@ -124,8 +124,8 @@
     """It was sent on before its third crash was known, to a fourth engine."""
     scene = Scene()
     scene.held = defer.Deferred()
-    scene.watch.note(make_request("r1"))
-    settled = fakes.run(scene.watch.settle(ENGINE))
+    scene.watch.observe_broken_answer(make_request("r1"))
+    settled = fakes.run(scene.watch.wait_for_check(ENGINE))
     scene.settle()
     assert not settled.called
     scene.held.callback(None)
@@ -136,8 +136,8 @@
 def test_check_that_takes_long_holds_no_request_up():
     scene = Scene()
     scene.held = defer.Deferred()
-    scene.watch.note(make_request("r1"))
-    settled = fakes.run(scene.watch.settle(ENGINE))
+    scene.watch.observe_broken_answer(make_request("r1"))
+    settled = fakes.run(scene.watch.wait_for_check(ENGINE))
     scene.clock.advance(crashwatch.SETTLE_S)
     assert settled.called
     scene.held.callback(None)
@@ -147,13 +147,13 @@
 
 def test_nobody_waits_for_an_endpoint_that_needs_no_check():
     scene = Scene()
-    assert fakes.run(scene.watch.settle(ENGINE)).called
+    assert fakes.run(scene.watch.wait_for_check(ENGINE)).called
 
 
 def test_crash_with_very_many_requests_is_told_within_a_limit():
     scene = Scene()
     for number in range(crashwatch.MOST_RUNS + 10):
-        scene.watch.note(make_request(f"r{number}"))
+        scene.watch.observe_broken_answer(make_request(f"r{number}"))
     scene.settle()
     (crash,) = scene.crashes
     assert len(crash.runs) == crashwatch.MOST_RUNS
--- a/packages/bulrushgrade_daemon/tests/test_choosing.py
+++ b/packages/bulrushgrade_daemon/tests/test_endpointchooser.py
@@ -14,8 +14,8 @@
 from bulrushgrade import peerloads
 from bulrushgrade import prompt as prompt_module
 from bulrushgrade import routing
-from bulrushgrade_daemon import choosing
 from bulrushgrade_daemon import dialect
+from bulrushgrade_daemon import endpointchooser
 from bulrushgrade_daemon import enginework
 from bulrushgrade_daemon import inflight
 
@@ -80,12 +80,12 @@
             timers=self.timers,
             table=lambda: TABLE,
             endpoints=endpoints,
-            others=self.peers,
+            peers=self.peers,
             index=None,
         )
         self.work = work
         self.fleet = work.fleet("llm")
-        self.chooser = choosing.Chooser(
+        self.chooser = endpointchooser.EndpointChooser(
             timers=self.timers,
             zone="z1",
             table=lambda: TABLE,
@@ -101,7 +101,7 @@
         for engine in self.engines:
             if engine.id in ids:
                 for _ in range(3):
-                    self.chooser.note_failure(engine)
+                    self.chooser.observe_failure(engine)
 
     def seen(self):
         (view,) = self.chooser.engine_views()
@@ -119,7 +119,9 @@
 
     def fail(self, id, outcome, request=None):
         ended = inflight.AttemptEnd(outcome=outcome, reason="test")
-        self.chooser.failed(request or make_request(), self.find(id), ended)
+        self.chooser.observe_failed_attempt(
+            request or make_request(), self.find(id), ended
+        )
 
     def let_stream(self, id):
         """Has an engine stream an answer; returns what takes its events."""
@@ -302,6 +304,6 @@
     size = scene.fleet.relative_size(50_000)
     too_large = make_request(tokens=TRAITS.memory_tokens + 1)
     assert scene.choose(too_large) == (None, None)
-    assert "larger" in scene.chooser.describe_lack(too_large)
+    assert "larger" in scene.chooser.explain_no_endpoint(too_large)
     assert scene.fleet.relative_size(50_000) == size
     assert scene.choose(make_request(tokens=TRAITS.memory_tokens))[1]
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -36,7 +36,7 @@
     )
 )
 LOST = inflight.AttemptEnd(
-    outcome=attempts.Outcome.LOST, reason="reset", broke_off=True
+    outcome=attempts.Outcome.LOST, reason="reset", connection_lost=True
 )
 
 
@@ -87,7 +87,7 @@
         self.noted = []
         self.is_crash = True
 
-    def note(self, request):
+    def observe_broken_answer(self, request):
         self.noted.append(request.endpoint.id)
         if self.is_crash:
             endpoint = request.endpoint
@@ -96,7 +96,7 @@
             )
             self._ledger.add_involvement(involvement, now=0.0)
 
-    async def settle(self, endpoint):
+    async def wait_for_check(self, endpoint):
         """Has nothing to wait for."""
 
 
@@ -135,11 +135,11 @@
             timers=timers,
             table=lambda: TABLE,
             endpoints=None,
-            others=None,
+            peers=None,
             index=None,
         )
         self.forwarder = forwarder.Forwarder(
-            parts=forwarder.Parts(
+            dependencies=forwarder.Dependencies(
                 timers=timers,
                 admission=requestadmission.RequestAdmission(
                     timers=timers,
@@ -156,15 +156,15 @@
                 calls=self,
                 crashes=self.watch,
                 ledger=self.ledger,
-                note_whole=self.whole.append,
+                observe_completion=self.whole.append,
                 log=log,
                 rng=random.Random(1),
                 on_broken=self.broken.append,
             ),
-            new_share=lambda: retryshare.RetryShare(
+            make_retry_share=lambda: retryshare.RetryShare(
                 ratio=1.0, extra=lambda: 10, window_s=10.0
             ),
-            note_begun=lambda workspace, at: None,
+            record_run_start=lambda workspace, at: None,
         )
 
     def send(self):
@@ -181,7 +181,7 @@
         self.avoided.append(request.avoid_zones)
         return self.endpoints[len(self.sent) % len(self.endpoints)]
 
-    def succeeded(self, endpoint, latency_s):
+    def observe_success(self, endpoint, latency_s):
         """Learns nothing."""
 
     def begin(self, endpoint):
@@ -190,7 +190,7 @@
     def end(self, endpoint):
         """Keeps no count."""
 
-    def failed(self, request, endpoint, ended):
+    def observe_failed_attempt(self, request, endpoint, ended):
         """Ejects nobody."""
 
     # What sends requests.
@@ -235,7 +235,7 @@
 
 def test_answer_that_did_not_break_off_needs_no_check():
     """Endpoints that answered were checked, at the price of a connection."""
-    answered = attrs.evolve(LOST, broke_off=False)
+    answered = attrs.evolve(LOST, connection_lost=False)
     scene = Scene(answered, answered, answered)
     scene.send()
     assert scene.watch.noted == []
--- a/packages/bulrushgrade_daemon/tests/test_inflight.py
+++ b/packages/bulrushgrade_daemon/tests/test_inflight.py
@@ -35,7 +35,7 @@
         caller=Caller(), info=None, route=route, service="llm", deadline=18.0
     )
     for at in event_times:
-        request.pace.note(at)
+        request.pace.observe_events(at)
     return request
 
 
--- a/packages/bulrushgrade_daemon/tests/test_outbound.py
+++ b/packages/bulrushgrade_daemon/tests/test_outbound.py
@@ -88,10 +88,12 @@
     assert ended == [defer.CancelledError]
 
 
-def find_refusal():
+def find_connect_error():
     reactor = Reactor()
     finding = fakes.run(
-        outbound.find_refusal(reactor, "10.0.0.1", 80, connect_timeout_s=0.3)
+        outbound.find_connect_error(
+            reactor, "10.0.0.1", 80, connect_timeout_s=0.3
+        )
     )
     ended = []
     finding.addBoth(ended.append)
@@ -99,13 +101,13 @@
 
 
 def test_refused_connection_is_told_by_its_reason():
-    connector, ended = find_refusal()
+    connector, ended = find_connect_error()
     connector.fail(error.ConnectionRefusedError())
     assert ended == ["ConnectionRefusedError"]
 
 
 def test_connection_that_opens_is_dropped_and_no_refusal():
-    connector, ended = find_refusal()
+    connector, ended = find_connect_error()
     transport = Transport()
     connector.open(transport)
     assert ended == [None]
