--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
@@ -8,13 +8,13 @@
 from bulrushgrade_daemon import dialect as dialect_module
 from bulrushgrade_daemon import inflight
 
-BUFFER_BYTES = 262_144
-"""Of an answer that is held until it is whole, so that a torn one can be
+MAX_BUFFERED_BYTES = 262_144
+"""Of an answer that is buffered until it is whole, so that a torn one can be
 replaced. What is longer goes out as it arrives."""
 
 MISDIRECTED_REQUEST = 421
 TOO_MANY_REQUESTS = 429
-PROMISES_NOT_RUN = frozenset(
+NOT_RUN_STATUSES = frozenset(
     {
         http.REQUEST_TIMEOUT,
         MISDIRECTED_REQUEST,
@@ -27,7 +27,7 @@
 
 def is_failure(status: int) -> bool:
     """Tells whether a status says that a run failed."""
-    return status >= http.INTERNAL_SERVER_ERROR or status in PROMISES_NOT_RUN
+    return status >= http.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
 
 
 async def read_failure(
@@ -50,7 +50,7 @@
     )
     # To the caller these say that nothing ran, which this endpoint does not
     # say.
-    if answer.status in PROMISES_NOT_RUN:
+    if answer.status in NOT_RUN_STATUSES:
         failure = None
     return inflight.AttemptEnd(
         outcome=attempts.Outcome.FAILED,
@@ -62,7 +62,7 @@
 async def forward_whole(
     request: inflight.InFlight,
     dialect: dialect_module.Dialect,
-    on_heard: Callable[[], None],
+    on_arrival: Callable[[], None],
 ) -> inflight.AttemptEnd | None:
     """Sends an answer once it is whole, or as it comes if it is long.
 
@@ -70,22 +70,22 @@
         None where the caller has got all of it.
     """
     caller, answer = request.caller, request.endpoint_answer
-    held: list[bytes] = []
+    buffered: list[bytes] = []
     size = 0
 
-    def take(data: bytes) -> None:
+    def receive(data: bytes) -> None:
         nonlocal size
-        on_heard()
+        on_arrival()
         size += len(data)
         if request.history.begun:
             caller.write(data)
             return
-        held.append(data)
-        if size > BUFFER_BYTES:
-            _begin(request, dialect)
-            caller.write(b"".join(held))
+        buffered.append(data)
+        if size > MAX_BUFFERED_BYTES:
+            _begin_answer(request, dialect)
+            caller.write(b"".join(buffered))
 
-    end = await answer.read(take)
+    end = await answer.read(receive)
     if not end.whole:
         return inflight.AttemptEnd(
             outcome=attempts.Outcome.LOST,
@@ -98,14 +98,14 @@
         caller.end()
     else:
         fields = dialect.write_answer_fields(answer.headers)
-        caller.answer(answer.status, fields, b"".join(held))
+        caller.answer(answer.status, fields, b"".join(buffered))
     return None
 
 
 async def forward_events(
     request: inflight.InFlight,
     dialect: dialect_module.Dialect,
-    on_heard: Callable[[], None],
+    on_arrival: Callable[[], None],
     on_events: Callable[[int], None],
 ) -> inflight.AttemptEnd | None:
     """Sends each event as soon as it is whole.
@@ -113,7 +113,7 @@
     Args:
         request: Whose answer it is.
         dialect: Translates headers.
-        on_heard: Called with each arrival of bytes.
+        on_arrival: Called with each arrival of bytes.
         on_events: Called with how many events came together.
 
     Returns:
@@ -128,8 +128,8 @@
     if request.history.begun:
         caller.pace(answer.producer)
 
-    def take(data: bytes) -> None:
-        on_heard()
+    def receive(data: bytes) -> None:
+        on_arrival()
         known_events = splitter.events
         whole = splitter.feed(data)
         if splitter.events > known_events:
@@ -138,10 +138,10 @@
             answer.abort()
         if whole and not caller.gone:
             if not request.history.begun:
-                _begin(request, dialect)
+                _begin_answer(request, dialect)
             caller.write(whole)
 
-    end = await answer.read(take)
+    end = await answer.read(receive)
     if not end.whole or splitter.partial:
         return inflight.AttemptEnd(
             outcome=attempts.Outcome.BROKEN_STREAM,
@@ -151,12 +151,14 @@
     if caller.gone:
         return None
     if not request.history.begun:
-        _begin(request, dialect)
+        _begin_answer(request, dialect)
     caller.end()
     return None
 
 
-def _begin(request: inflight.InFlight, dialect: dialect_module.Dialect) -> None:
+def _begin_answer(
+    request: inflight.InFlight, dialect: dialect_module.Dialect
+) -> None:
     request.history.begun = True
     fields = dialect.write_answer_fields(request.endpoint_answer.headers)
     # A caller that reads slowly stops the endpoint instead of filling the
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
@@ -18,11 +18,11 @@
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import task
 
-PERIOD_S = 0.5
+READ_PERIOD_S = 0.5
 """Between two reads of an engine. A part is used again after ten seconds or
 so; half a second of not knowing costs one in twenty the better place."""
 
-FAILED_PERIOD_S = 2.0
+RETRY_PERIOD_S = 2.0
 """Between two reads of an engine that does not answer."""
 
 
@@ -50,20 +50,20 @@
 
 
 @attrs.define(kw_only=True)
-class _Place:
+class _ReadPosition:
     """How far one engine's changes have been read.
 
     Attributes:
         epoch: The epoch of the last read; None before the first.
         next: Where the next changes begin.
-        due: When to read next.
-        reading: Whether a read is under way.
+        next_read_at: When to read next.
+        is_reading: Whether a read is under way.
     """
 
     epoch: str | None = None
     next: int = 0
-    due: float = 0.0
-    reading: bool = False
+    next_read_at: float = 0.0
+    is_reading: bool = False
 
 
 class CacheWatch:
@@ -95,7 +95,7 @@
         self._read = read
         self._apply = apply
         self._on_broken = on_broken
-        self._places: dict[tuple[str, int], _Place] = {}
+        self._positions: dict[tuple[str, int], _ReadPosition] = {}
         self._failures = 0
         self._reads = 0
         self._tick: Any = None
@@ -107,7 +107,7 @@
 
     async def start(self) -> None:
         """Begins to read."""
-        self._tick = self._timers.every(PERIOD_S / 2, self._read_due)
+        self._tick = self._timers.every(READ_PERIOD_S / 2, self._read_due)
 
     async def stop(self) -> None:
         """Begins no more reads."""
@@ -119,45 +119,49 @@
 
     def dump(self) -> dict[str, Any]:
         """Returns how many engines are followed."""
-        return {"engines": len(self._places), **self.counts}
+        return {"engines": len(self._positions), **self.counts}
 
     def _read_due(self) -> None:
         engines = {engine.incarnation: engine for engine in self._engines()}
-        for incarnation in list(self._places):
+        for incarnation in list(self._positions):
             if incarnation not in engines:
-                del self._places[incarnation]
+                del self._positions[incarnation]
         for incarnation, engine in engines.items():
-            place = self._places.setdefault(incarnation, _Place())
-            if place.reading or self._timers.now < place.due:
+            position = self._positions.setdefault(incarnation, _ReadPosition())
+            if position.is_reading or self._timers.now < position.next_read_at:
                 continue
-            place.reading = True
+            position.is_reading = True
             task.spawn(
-                self._read_one(engine, place),
+                self._read_one(engine, position),
                 name=self.name,
                 on_broken=self._on_broken,
             )
 
     async def _read_one(
-        self, engine: directory_module.Registration, place: _Place
+        self, engine: directory_module.Registration, position: _ReadPosition
     ) -> None:
         self._reads += 1
-        read = await self._read(engine, place.next)
-        place.reading = False
+        read = await self._read(engine, position.next)
+        position.is_reading = False
 
         if isinstance(read, Failure):
             self._failures += 1
-            place.due = self._timers.now + FAILED_PERIOD_S
+            position.next_read_at = self._timers.now + RETRY_PERIOD_S
             return
         found = read.unwrap()
-        place.due = self._timers.now + PERIOD_S
-        restarted = place.epoch not in (None, found.epoch)
-        if restarted and place.next > 0:
+        position.next_read_at = self._timers.now + READ_PERIOD_S
+        restarted = position.epoch not in (None, found.epoch)
+        if restarted and position.next > 0:
             # The numbers of the former life say nothing here.
-            place.epoch, place.next, place.due = found.epoch, 0, 0.0
+            position.epoch, position.next, position.next_read_at = (
+                found.epoch,
+                0,
+                0.0,
+            )
             self._apply(engine, (), reset=True)
             return
         # What was dropped before the first read was seen by whoever followed
         # the engine before.
-        reset = found.lost and place.epoch is not None
-        place.epoch, place.next = found.epoch, found.end
+        reset = found.lost and position.epoch is not None
+        position.epoch, position.next = found.epoch, found.end
         self._apply(engine, found.changes, reset=reset)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -31,10 +31,10 @@
 RETRY_S = 0.5
 """Between two writes while the store is away."""
 
-MOST_A_WRITE = 256
+MAX_WRITE_RECORDS = 256
 """Records in a write, far below what the store takes."""
 
-MOST_WAITING = 1024
+MAX_WAITING = 1024
 """Records that wait to be written. Beyond these only what is told of requests
 that were at a crash before is taken."""
 
@@ -105,7 +105,7 @@
         self._counts = {"written": 0, "failed": 0, "left_out": 0}
         self._unreadable = 0
         self._tick: Any = None
-        self._delayed: Any = None
+        self._delayed_write: Any = None
         self._writing: defer.Deferred | None = None
 
     @property
@@ -130,8 +130,8 @@
         """Writes nothing any more."""
         if self._tick is not None:
             self._tick.cancel()
-        if self._delayed is not None:
-            self._delayed.cancel()
+        if self._delayed_write is not None:
+            self._delayed_write.cancel()
         if self._writing is not None:
             self._writing.cancel()
 
@@ -166,29 +166,29 @@
                 continue
             is_first = not self._ledger.involvements(run.fingerprint)
             self._ledger.add_involvement(involvement, now=now)
-            if is_first and len(self._waiting) >= MOST_WAITING:
+            if is_first and len(self._waiting) >= MAX_WAITING:
                 self._counts["left_out"] += 1
                 continue
             self._own[involvement.key] = involvement
             self._waiting[involvement.key] = involvement
-        self._note_changes()
-        self._begin_to_write()
+        self._log_changes()
+        self._schedule_write()
 
     def observe_completion(self, fingerprint: str) -> None:
         """Notes that a request has run to its end."""
         for key in self._ledger.clear(fingerprint):
             self._own.pop(key, None)
             self._waiting[key] = None
-        self._note_changes()
-        self._begin_to_write()
+        self._log_changes()
+        self._schedule_write()
 
     def apply_records(
         self, records: tuple[topicreader.KeyedRecord, ...]
     ) -> None:
         """Takes records of the topic in their order."""
         for record in records:
-            self._take_record(record)
-        self._note_changes()
+            self._apply_record(record)
+        self._log_changes()
 
     def apply_snapshot(
         self, records: tuple[topicreader.KeyedRecord, ...]
@@ -202,9 +202,9 @@
         for key, involvement in self._own.items():
             if crashrecords.write_key(key) not in listed:
                 self._waiting.setdefault(key, involvement)
-        self._begin_to_write()
+        self._schedule_write()
 
-    def _take_record(self, record: topicreader.KeyedRecord) -> None:
+    def _apply_record(self, record: topicreader.KeyedRecord) -> None:
         if record.value is None:
             key = crashrecords.read_key(record.key)
             if key is not None:
@@ -218,7 +218,7 @@
         else:
             self._ledger.add_involvement(involvement, now=self._timers.now)
 
-    def _note_changes(self) -> None:
+    def _log_changes(self) -> None:
         before, now = self._logged, self._timers.now
         self._logged = {
             fingerprint: len(self._ledger.involvements(fingerprint))
@@ -248,22 +248,24 @@
             self._waiting.pop(key, None)
         if dropped and self._leads():
             self._waiting.update(dict.fromkeys(dropped))
-        self._note_changes()
-        self._begin_to_write()
+        self._log_changes()
+        self._schedule_write()
 
-    def _begin_to_write(self) -> None:
+    def _schedule_write(self) -> None:
         """Has what waits written, drops alone a while later."""
         if self._writing is not None or not self._waiting:
             return
         if any(self._waiting.values()):
             self._write_now()
-        elif self._delayed is None:
-            self._delayed = self._timers.after(CLEAR_PAUSE_S, self._write_now)
+        elif self._delayed_write is None:
+            self._delayed_write = self._timers.after(
+                CLEAR_PAUSE_S, self._write_now
+            )
 
     def _write_now(self) -> None:
-        if self._delayed is not None:
-            self._delayed.cancel()
-            self._delayed = None
+        if self._delayed_write is not None:
+            self._delayed_write.cancel()
+            self._delayed_write = None
         if self._writing is None:
             self._writing = task.spawn(
                 self._write_waiting(),
@@ -273,19 +275,19 @@
 
     async def _write_waiting(self) -> None:
         try:
-            is_written = await self._write_some()
+            is_written = await self._write_batch()
             while any(self._waiting.values()) or not is_written:
                 await self._timers.sleep(
                     WRITE_PAUSE_S if is_written else RETRY_S
                 )
-                is_written = await self._write_some()
+                is_written = await self._write_batch()
             await self._timers.sleep(WRITE_PAUSE_S)
         finally:
             self._writing = None
-        self._begin_to_write()
+        self._schedule_write()
 
-    async def _write_some(self) -> bool:
-        batch = dict(list(self._waiting.items())[:MOST_A_WRITE])
+    async def _write_batch(self) -> bool:
+        batch = dict(list(self._waiting.items())[:MAX_WRITE_RECORDS])
         for key in batch:
             del self._waiting[key]
         written = await self._write(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
@@ -17,18 +17,18 @@
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import task
 
-GATHER_S = 0.01
+CHECK_DELAY_S = 0.01
 """From the first answer that breaks off to the check of its endpoint. Those of
 the other requests there break off in the same moment and need no other one."""
 
-SETTLE_S = 0.05
+MAX_CHECK_WAIT_S = 0.05
 """How long a request waits for the check before it is sent on: longer than a
 connection takes to be opened or refused, and a small part of any target."""
 
-MOST_PATH = 120
+MAX_PATH_CHARS = 120
 """Characters of a path in a line of the log."""
 
-MOST_RUNS = 256
+MAX_RUNS = 256
 """Requests that one crash tells of: more than an endpoint has slots."""
 
 
@@ -52,7 +52,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Unchecked:
+class _PendingCheck:
     """An endpoint that is still to be checked.
 
     Attributes:
@@ -111,7 +111,7 @@
         self._log = log
         self._on_broken = on_broken
         # By incarnation, until its endpoint was checked.
-        self._unchecked: dict[tuple[str, int], _Unchecked] = {}
+        self._pending_checks: dict[tuple[str, int], _PendingCheck] = {}
         self._counts = {"checks": 0, "crashes": 0, "requests": 0}
 
     @property
@@ -131,44 +131,48 @@
             path=request.caller.path.decode("latin-1"),
             ran_s=request.ran_s(self._timers.now),
         )
-        unchecked = self._unchecked.get(endpoint.incarnation)
-        if unchecked is None:
-            self._unchecked[endpoint.incarnation] = _Unchecked(runs=[run])
+        pending_check = self._pending_checks.get(endpoint.incarnation)
+        if pending_check is None:
+            self._pending_checks[endpoint.incarnation] = _PendingCheck(
+                runs=[run]
+            )
             task.spawn(
-                self._find_out(endpoint),
+                self._check_endpoint(endpoint),
                 name="crashwatch",
                 on_broken=self._on_broken,
             )
-        elif len(unchecked.runs) < MOST_RUNS:
-            unchecked.runs.append(run)
+        elif len(pending_check.runs) < MAX_RUNS:
+            pending_check.runs.append(run)
 
     async def wait_for_check(self, endpoint: directory.Registration) -> None:
         """Waits until an endpoint that was noted is checked, or for long."""
-        unchecked = self._unchecked.get(endpoint.incarnation)
-        if unchecked is None:
+        pending_check = self._pending_checks.get(endpoint.incarnation)
+        if pending_check is None:
             return
         waited: defer.Deferred = defer.Deferred()
-        limit = self._timers.after(SETTLE_S, lambda: waited.callback(None))
-        unchecked.waiting.append(waited)
+        limit = self._timers.after(
+            MAX_CHECK_WAIT_S, lambda: waited.callback(None)
+        )
+        pending_check.waiting.append(waited)
         try:
             await waited
         finally:
             limit.cancel()
-            if waited in unchecked.waiting:
-                unchecked.waiting.remove(waited)
+            if waited in pending_check.waiting:
+                pending_check.waiting.remove(waited)
 
-    async def _find_out(self, endpoint: directory.Registration) -> None:
-        await self._timers.sleep(GATHER_S)
+    async def _check_endpoint(self, endpoint: directory.Registration) -> None:
+        await self._timers.sleep(CHECK_DELAY_S)
         self._counts["checks"] += 1
         reason = await self._check(endpoint)
-        unchecked = self._unchecked.pop(endpoint.incarnation)
+        pending_check = self._pending_checks.pop(endpoint.incarnation)
         if reason is not None:
-            self._note_crash(endpoint, unchecked.runs, reason)
-        waiting, unchecked.waiting = unchecked.waiting, []
+            self._record_crash(endpoint, pending_check.runs, reason)
+        waiting, pending_check.waiting = pending_check.waiting, []
         for waited in waiting:
             waited.callback(None)
 
-    def _note_crash(
+    def _record_crash(
         self,
         endpoint: directory.Registration,
         runs: list[InterruptedRequest],
@@ -188,7 +192,7 @@
                     "request": run.request_id,
                     "fingerprint": run.fingerprint,
                     "caller": run.caller_id,
-                    "path": run.path[:MOST_PATH],
+                    "path": run.path[:MAX_PATH_CHARS],
                     "ran_s": None if run.ran_s is None else round(run.ran_s, 3),
                 }
                 for run in runs
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
@@ -86,11 +86,11 @@
         )
         sent = await self._send(request, sending)
         if isinstance(sent, inflight.AttemptEnd):
-            return _as_unread(sent)
+            return _as_prefill_end(sent)
         refusal = self._read_refusal(request, sent)
         if refusal is not None:
             sent.abort()
-            return _as_unread(refusal)
+            return _as_prefill_end(refusal)
         parts: list[bytes] = []
         try:
             end = await sent.read(parts.append)
@@ -145,7 +145,7 @@
     async def _send(
         self, request: inflight.InFlight, sending: dialect_module.Sending
     ) -> outbound.Answer | inflight.AttemptEnd:
-        def make() -> outbound.OutboundRequest:
+        def make_request() -> outbound.OutboundRequest:
             # The time that is left is told as of the write: opening the
             # connection has taken some of it.
             workspace = request.workspace
@@ -169,7 +169,7 @@
             self._reactor,
             sending.endpoint.host,
             sending.endpoint.port,
-            make,
+            make_request,
             connect_timeout_s=CONNECT_TIMEOUT_S,
         )
         if isinstance(sent, Failure):
@@ -210,7 +210,7 @@
     return f"{source.host}:{source.port}" if source else None
 
 
-def _as_unread(ended: inflight.AttemptEnd) -> inflight.AttemptEnd:
+def _as_prefill_end(ended: inflight.AttemptEnd) -> inflight.AttemptEnd:
     """Returns how a reading ended: it is not a run, so that nothing has run."""
     if ended.outcome is attempts.Outcome.LOST:
         return attrs.evolve(ended, outcome=attempts.Outcome.UNREAD)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
@@ -89,13 +89,13 @@
         prompt = request.info.prompt
         if traits is None or prompt is None:
             request.plan = None
-            able = [
+            candidates = [
                 endpoint
                 for endpoint in usable
                 if endpoint.stage is not directory_module.Stage.PREFILL
             ]
             return self._balancer.pick(
-                able,
+                candidates,
                 avoid=request.avoid,
                 avoid_zones=request.avoid_zones,
                 now=now,
@@ -273,11 +273,13 @@
         for a moment and by itself, would have a reader changed in their place.
         """
         usable = self._usable(service, now)
-        sound = self._balancer.eligible(usable, avoid=frozenset(), now=now)
+        not_ejected = self._balancer.eligible(
+            usable, avoid=frozenset(), now=now
+        )
         return [
             engine
             for engine in usable
-            if engine in sound or fleet.has_peer_streams(engine, now)
+            if engine in not_ejected or fleet.has_peer_streams(engine, now)
         ]
 
     def record_stage_change(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -20,14 +20,14 @@
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import placementindex
 
-LIVE_PAUSES = 4.0
+LIVE_PAUSE_FACTOR = 4.0
 """Expected pauses after its last event in which an engine counts as one that
 generates. A stream's pauses seldom last twice the expected one; a daemon has
 several streams at an engine that is full, and one that has crashed is found
 out by then."""
 
 
-def _note_nothing(*_: Any) -> None:
+def _ignore(*_: Any) -> None:
     """Takes what nobody follows."""
 
 
@@ -40,8 +40,8 @@
         ended: Called when it has ended, any number of times.
     """
 
-    events: Callable[[int], None] = _note_nothing
-    ended: Callable[[], None] = _note_nothing
+    events: Callable[[int], None] = _ignore
+    ended: Callable[[], None] = _ignore
 
 
 class EngineWork:
@@ -112,7 +112,9 @@
         fleet, now = self.fleet(engine.service), self._timers.now
         pause_s = fleet.estimate_decode_load(engine, traits, now).pause_s
         streams = fleet.load(engine, traits).streams
-        return streams.has_recent_event(now, within_s=LIVE_PAUSES * pause_s)
+        return streams.has_recent_event(
+            now, within_s=LIVE_PAUSE_FACTOR * pause_s
+        )
 
     def describe(
         self, engine: directory_module.Registration
@@ -122,11 +124,13 @@
         if traits is None:
             return {}
         fleet = self.fleet(engine.service)
-        there = fleet.estimate_decode_load(engine, traits, self._timers.now)
+        decode_load = fleet.estimate_decode_load(
+            engine, traits, self._timers.now
+        )
         return {
-            "streams": there.streams,
-            "tokens": there.tokens,
-            "expected_pause_s": round(there.pause_s, 3),
+            "streams": decode_load.streams,
+            "tokens": decode_load.tokens,
+            "expected_pause_s": round(decode_load.pause_s, 3),
         }
 
     def apply_holder(
@@ -181,13 +185,13 @@
         prompt_tokens = request.info.prompt.prompt_tokens
         stream = streamload.Stream(prompt_tokens=prompt_tokens)
         # It takes no slot from others before it runs.
-        lets_others_first = request.urgency == routing.LOWEST_URGENCY
-        if not lets_others_first:
+        has_lowest_urgency = request.urgency == routing.LOWEST_URGENCY
+        if not has_lowest_urgency:
             streams.begin(stream)
 
-        def note_events(count: int) -> None:
+        def observe_events(count: int) -> None:
             now = self._timers.now
-            if lets_others_first and stream.last_event_at is None:
+            if has_lowest_urgency and stream.last_event_at is None:
                 streams.begin(stream)
             pause_s = streams.record_events(
                 stream, count, event_tokens=traits.event_tokens, now=now
@@ -202,7 +206,7 @@
                     stream.generated_tokens // traits.event_tokens
                 )
 
-        return StreamObserver(events=note_events, ended=ended)
+        return StreamObserver(events=observe_events, ended=ended)
 
     def begin_work(
         self,
@@ -227,40 +231,42 @@
         fleet = self.fleet(request.service)
         load = fleet.load(engine, traits)
         prompt = request.info.prompt
-        reading = _make_reading(request, self._timers.now, prefills=prefills)
-        report_end = self._report_begin(engine, reading, prompt, traits)
-        load.begin(reading)
+        prefill = _make_pending_prefill(
+            request, self._timers.now, prefills=prefills
+        )
+        report_end = self._report_begin(engine, prefill, prompt, traits)
+        load.begin(prefill)
 
         def ended(began: bool) -> None:
             report_end(began)
             now = self._timers.now
             if began:
-                load.answered(reading, engine.stage, now)
-                if reading.tokens >= traits.long_tokens:
-                    fleet.observe_prefill(plan, now - reading.sent_at, now)
+                load.answered(prefill, engine.stage, now)
+                if prefill.tokens >= traits.long_tokens:
+                    fleet.observe_prefill(plan, now - prefill.sent_at, now)
             else:
-                load.dropped(reading, now)
+                load.dropped(prefill, now)
 
         return ended
 
     def _report_begin(
         self,
         engine: directory_module.Registration,
-        reading: engineload.PendingPrefill,
+        prefill: engineload.PendingPrefill,
         prompt: prompt_module.Prompt,
         traits: routing.EngineTraits,
     ) -> Callable[[bool], None]:
         """Reports a long reading to peers; returns what reports its end."""
-        if reading.tokens < traits.long_tokens:
+        if prefill.tokens < traits.long_tokens:
             return lambda began: None
         # Nothing new is read of parts that it has already.
         cache = self.fleet(engine.service).load(engine, traits).cache
         is_new = cache.cached_tokens(prompt) < prompt.shared_tokens
-        parts = reading.parts if is_new else ()
-        return self._index.begin(engine.id, reading, parts)
+        parts = prefill.parts if is_new else ()
+        return self._index.begin(engine.id, prefill, parts)
 
 
-def _make_reading(
+def _make_pending_prefill(
     request: inflight.InFlight, now: float, *, prefills: bool
 ) -> engineload.PendingPrefill:
     plan, prompt = request.plan, request.info.prompt
@@ -274,7 +280,7 @@
             urgency=urgency,
             mode=prefilltimes.PrefillMode.TAKEN_OVER,
         )
-    is_apart = plan.prefill is not None
+    is_disaggregated = plan.prefill is not None
     return engineload.PendingPrefill(
         expected_s=plan.busy_s,
         sent_at=now,
@@ -285,7 +291,7 @@
         urgency=urgency,
         fetch_s=plan.busy_s - plan.prefill_s,
         mode=prefilltimes.PrefillMode.DISAGGREGATED
-        if is_apart
+        if is_disaggregated
         else prefilltimes.PrefillMode.IN_PLACE,
         parts=prompt.shared_parts,
     )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -33,13 +33,13 @@
 from bulrushgrade_daemon import requestlog
 from bulrushgrade_daemon import task
 
-MARGIN_S = 0.02
+DEADLINE_MARGIN_S = 0.02
 """Kept from a deadline for the way back to the caller."""
 
 MIN_ATTEMPT_S = 0.05
 """Time that must be left for another attempt to be of use."""
 
-SILENT_S = 1.0
+MIN_SILENCE_S = 1.0
 """Without a word of an endpoint, after which a request that is given up has
 the endpoint checked: longer than any usual pause."""
 
@@ -119,7 +119,7 @@
         self._make_retry_share = make_retry_share
         self._observe_latency = observe_latency
         self._record_run_start = record_run_start
-        self._shares: dict[str, retryshare.RetryShare] = {}
+        self._retry_shares: dict[str, retryshare.RetryShare] = {}
         self._open: set[inflight.InFlight] = set()
         self._counts: dict[str, int] = {}
 
@@ -153,11 +153,11 @@
         except errors.BrokenInvariantError:
             raise
         except Exception:
-            self._end_broken(caller, None)
+            self._end_with_internal_error(caller, None)
             return
         if request is None:
             return
-        self._share(request.service).count_request(self._timers.now)
+        self._retry_share(request.service).count_request(self._timers.now)
         self._open.add(request)
         running = task.spawn(
             self._serve(request), name="request", on_broken=self._on_broken
@@ -171,7 +171,7 @@
             running.cancel()
 
         left_s = request.left_s(self._timers.now)
-        expiry = self._timers.after(left_s - MARGIN_S, expire)
+        expiry = self._timers.after(left_s - DEADLINE_MARGIN_S, expire)
         running.addBoth(lambda result: expiry.cancel() or result)
 
     async def _serve(self, request: inflight.InFlight) -> None:
@@ -182,7 +182,7 @@
         except errors.BrokenInvariantError:
             raise
         except Exception:
-            self._end_broken(request.caller, request)
+            self._end_with_internal_error(request.caller, request)
         finally:
             request.caller.on_gone = None
             self._open.discard(request)
@@ -192,8 +192,8 @@
             await self._chooser.query_peers(request)
             endpoint = self._chooser.choose(request)
             if endpoint is None:
-                lack = self._chooser.explain_no_endpoint(request)
-                self._finish(request, None, lack)
+                cause = self._chooser.explain_no_endpoint(request)
+                self._finish(request, None, cause)
                 return
             late_s = self._predicted_lateness_s(request)
             if late_s > 0:
@@ -204,9 +204,9 @@
             if request.is_over:
                 raise defer.CancelledError()
             if ended is None:
-                self._note_answered(request)
+                self._record_answered(request)
                 return
-            if not await self._goes_on(request, ended):
+            if not await self._handle_failed_attempt(request, ended):
                 self._finish(request, ended, ended.reason)
                 return
 
@@ -229,39 +229,39 @@
         request.sent_at = self._timers.now
         request.answer_began_at = None
         try:
-            return await self._read_and_run(request)
+            return await self._prefill_and_run(request)
         except defer.CancelledError:
             # An endpoint whose host vanished closes no connection; its
             # callers leave, or their time is up.
-            if request.silence_s(self._timers.now) >= SILENT_S:
+            if request.silence_s(self._timers.now) >= MIN_SILENCE_S:
                 self._crashes.observe_broken_answer(request)
             raise
         finally:
             request.sent_at = None
 
-    async def _read_and_run(
+    async def _prefill_and_run(
         self, request: inflight.InFlight
     ) -> inflight.AttemptEnd | None:
         """Has engines read a prompt and run it, or an endpoint run it all."""
         if request.plan is None or request.plan.prefill is None:
             return await self._run(request, None)
         engine = request.plan.prefill
-        # Whatever fails until it has read is its failure, not the receiver's.
+        # Whatever fails until it has read is its failure, not the decoder's.
         request.endpoint = engine
-        ended = self._work.begin_work(request, engine, prefills=True)
+        end_work = self._work.begin_work(request, engine, prefills=True)
         prefilled = None
         try:
             prefilled = await self._calls.prefill(request, engine)
         finally:
-            ended(isinstance(prefilled, dialect_module.PrefilledBy))
+            end_work(isinstance(prefilled, dialect_module.PrefilledBy))
         if isinstance(prefilled, inflight.AttemptEnd):
             return prefilled
         self._count("prefilled")
         request.prefilled_at = self._timers.now
         try:
-            receiver = self._chooser.choose_decoder(request)
-            request.endpoint = receiver or request.plan.decode
-            if receiver is None:
+            decoder = self._chooser.choose_decoder(request)
+            request.endpoint = decoder or request.plan.decode
+            if decoder is None:
                 return inflight.AttemptEnd(
                     outcome=attempts.Outcome.UNREACHED,
                     reason="no engine left that generates",
@@ -280,26 +280,28 @@
         endpoint = request.endpoint
         began = self._timers.now
         self._chooser.begin(endpoint)
-        ended = self._work.begin_work(
+        end_work = self._work.begin_work(
             request, endpoint, prefills=prefilled is None
         )
         stream = self._work.begin_stream(request, endpoint)
 
-        def note_events(count: int) -> None:
-            self._note_first_run(request, self._timers.now)
+        def observe_events(count: int) -> None:
+            self._record_first_run(request, self._timers.now)
             stream.events(count)
             request.pace.observe_events(self._timers.now)
 
         try:
             sent = await self._calls.run(request, endpoint, prefilled)
             if request.plan is None and _may_have_run(sent):
-                self._note_first_run(request, began)
+                self._record_first_run(request, began)
             if isinstance(sent, inflight.AttemptEnd):
                 return sent
             request.endpoint_answer = sent
             request.answer_began_at = self._timers.now
             latency_s = request.answer_began_at - began
-            failed = await self._pass(request, lambda: ended(True), note_events)
+            failed = await self._forward_answer(
+                request, lambda: end_work(True), observe_events
+            )
             if failed is None:
                 self._chooser.observe_success(endpoint, latency_s)
             return failed
@@ -310,20 +312,20 @@
             self._chooser.end(endpoint)
             if request.is_late:
                 self._count("late")
-                beliefs = self._work.describe(endpoint)
-                self._log.note_late(request, endpoint, beliefs)
+                engine_state = self._work.describe(endpoint)
+                self._log.note_late(request, endpoint, engine_state)
             stream.ended()
-            ended(False)
+            end_work(False)
 
-    def _note_first_run(self, request: inflight.InFlight, at: float) -> None:
+    def _record_first_run(self, request: inflight.InFlight, at: float) -> None:
         if not request.is_counted:
             request.is_counted = True
             self._record_run_start(request.workspace, at)
 
-    async def _pass(
+    async def _forward_answer(
         self,
         request: inflight.InFlight,
-        on_heard: Callable[[], None],
+        on_arrival: Callable[[], None],
         on_events: Callable[[int], None],
     ) -> inflight.AttemptEnd | None:
         status = request.endpoint_answer.status
@@ -332,13 +334,13 @@
         is_stream = request.route.kind is routing.RequestKind.STREAM
         if is_stream and status == http.OK:
             return await answerforwarding.forward_events(
-                request, self._dialect, on_heard, on_events
+                request, self._dialect, on_arrival, on_events
             )
         return await answerforwarding.forward_whole(
-            request, self._dialect, on_heard
+            request, self._dialect, on_arrival
         )
 
-    async def _goes_on(
+    async def _handle_failed_attempt(
         self, request: inflight.InFlight, ended: inflight.AttemptEnd
     ) -> bool:
         """Notes an attempt that failed; returns whether another follows."""
@@ -350,11 +352,11 @@
             self._crashes.observe_broken_answer(request)
             await self._crashes.wait_for_check(endpoint)
             request.avoid_zones = self._ledger.zones(request.fingerprint)
-        again = self._may_try_again(request)
+        again = self._may_retry(request)
         self._log.note_attempt(request, endpoint, ended, again=again)
         return again
 
-    def _may_try_again(self, request: inflight.InFlight) -> bool:
+    def _may_retry(self, request: inflight.InFlight) -> bool:
         now = self._timers.now
         if request.left_s(now) < MIN_ATTEMPT_S:
             return False
@@ -364,7 +366,7 @@
             return False
         if request.history.last is attempts.Outcome.UNREACHED:
             return True
-        return self._share(request.service).spend(now)
+        return self._retry_share(request.service).spend(now)
 
     def _finish(
         self,
@@ -383,7 +385,7 @@
             failure = ended.failure
             caller.answer(failure.status, failure.fields, failure.body)
         elif step is attempts.NextStep.REFUSE:
-            caller.refuse(self._return_after_s(request))
+            caller.refuse(self._choose_retry_after_s(request))
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
@@ -399,7 +401,7 @@
         else:
             request.caller.answer(http.GATEWAY_TIMEOUT, [], b"")
 
-    def _end_broken(
+    def _end_with_internal_error(
         self, caller: front.CallerRequest, request: inflight.InFlight | None
     ) -> None:
         """Ends a request whose own task failed in a way nobody foresaw.
@@ -414,7 +416,7 @@
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
-    def _return_after_s(self, request: inflight.InFlight) -> float:
+    def _choose_retry_after_s(self, request: inflight.InFlight) -> float:
         quarantined_s = self._quarantined_s(request)
         if quarantined_s > 0:
             return quarantined_s
@@ -430,18 +432,18 @@
             return 0.0
         return self._ledger.left_s(request.fingerprint, self._timers.now)
 
-    def _note_answered(self, request: inflight.InFlight) -> None:
+    def _record_answered(self, request: inflight.InFlight) -> None:
         self._count("answered")
         if len(self._ledger) and self._ledger.involvements(request.fingerprint):
             self._observe_completion(request.fingerprint)
         took_s = self._timers.now - request.caller.arrived_at
         self._observe_latency(request.route.kind.value, took_s)
 
-    def _share(self, service: str) -> retryshare.RetryShare:
-        share = self._shares.get(service)
+    def _retry_share(self, service: str) -> retryshare.RetryShare:
+        share = self._retry_shares.get(service)
         if share is None:
             share = self._make_retry_share()
-            self._shares[service] = share
+            self._retry_shares[service] = share
         return share
 
     def _count(self, what: str) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/jobbuilder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/jobbuilder.py
@@ -21,8 +21,8 @@
 SERVICE_HEADER = "X-Service"
 REQUEST_HEADER = "X-Request-Id"
 DEFAULT_KEY_HEADER = "Idempotency-Key"
-MAX_CALLER_ID = 128
-MAX_KEY = 256
+MAX_CALLER_ID_LENGTH = 128
+MAX_KEY_BYTES = 256
 JSON_TYPE = "application/json"
 
 
@@ -118,7 +118,7 @@
             output_tokens=asked.max_tokens,
             prefix=work_module.prefix_blocks(asked.text),
             deadline=now + limits.whole_answer_s,
-            first_token_deadline=_plus(now, limits.first_token_s),
+            first_token_deadline=_add_limit(now, limits.first_token_s),
             between_tokens_s=limits.between_tokens_s,
             priority=service.share.priority,
             repeatable=route is None or route.repeatable,
@@ -224,7 +224,7 @@
 
 def _caller_id(http_request: Any) -> str | None:
     given = http_request.getHeader(REQUEST_HEADER)
-    if given and len(given) <= MAX_CALLER_ID and given.isprintable():
+    if given and len(given) <= MAX_CALLER_ID_LENGTH and given.isprintable():
         return given
     return None
 
@@ -236,10 +236,12 @@
     if route is not None and route.idempotency_header is not None:
         header = route.idempotency_header
     key = http_request.getHeader(header)
-    if key is not None and not 1 <= len(key) <= MAX_KEY:
-        return refusal.bad_request(f"{header} must have 1 to {MAX_KEY} bytes")
+    if key is not None and not 1 <= len(key) <= MAX_KEY_BYTES:
+        return refusal.bad_request(
+            f"{header} must have 1 to {MAX_KEY_BYTES} bytes"
+        )
     return key
 
 
-def _plus(now: float, limit_s: float | None) -> float | None:
+def _add_limit(now: float, limit_s: float | None) -> float | None:
     return None if limit_s is None else now + limit_s
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/outbound.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/outbound.py
@@ -86,8 +86,8 @@
 class _Factory(protocol.ClientFactory):
     noisy = False
 
-    def __init__(self, *, opened: defer.Deferred):
-        self._opened = opened
+    def __init__(self, *, connected: defer.Deferred):
+        self._connected = connected
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
         client = _Client()
@@ -96,9 +96,9 @@
 
         def announce() -> None:
             made()
-            opened, self._opened = self._opened, None
-            if opened is not None:
-                opened.callback(client)
+            connected, self._connected = self._connected, None
+            if connected is not None:
+                connected.callback(client)
 
         client.connectionMade = announce
         return client
@@ -106,9 +106,9 @@
     def clientConnectionFailed(  # noqa: N802
         self, connector: Any, reason: Any
     ) -> None:
-        opened, self._opened = self._opened, None
-        if opened is not None:
-            opened.errback(reason)
+        connected, self._connected = self._connected, None
+        if connected is not None:
+            connected.errback(reason)
 
 
 @implementer(iweb.IBodyProducer)
@@ -162,7 +162,9 @@
         elif reason.check(_newclient.ResponseDone):
             ended.callback(BodyEnd(whole=True))
         else:
-            ended.callback(BodyEnd(whole=False, reason=_describe(reason)))
+            ended.callback(
+                BodyEnd(whole=False, reason=_describe_failure(reason))
+            )
 
 
 class Answer:
@@ -241,7 +243,7 @@
             made there holds for the write. None writes nothing.
         connect_timeout_s: How long the opening may take.
     """
-    opening = await _open(reactor, host, port, connect_timeout_s)
+    opening = await _connect(reactor, host, port, connect_timeout_s)
     if isinstance(opening, Failure):
         return opening
     client = opening.unwrap()
@@ -265,7 +267,7 @@
         client.transport.abortConnection()
         if _was_cancelled(error):
             raise defer.CancelledError() from None
-        return Failure(CallFailed(written=True, reason=_reason(error)))
+        return Failure(CallFailed(written=True, reason=_describe_error(error)))
     return Success(Answer(client=client, response=response))
 
 
@@ -280,14 +282,14 @@
         port: The port.
         connect_timeout_s: How long the opening may take.
     """
-    opening = await _open(reactor, host, port, connect_timeout_s)
+    opening = await _connect(reactor, host, port, connect_timeout_s)
     if isinstance(opening, Failure):
         return opening.failure().reason
     opening.unwrap().transport.abortConnection()
     return None
 
 
-async def _open(
+async def _connect(
     reactor: Any, host: str, port: int, connect_timeout_s: float
 ) -> Result[_Client, CallFailed]:
     """Opens a connection; cancelling gives it up."""
@@ -298,12 +300,12 @@
         cancelled = True
         connector.disconnect()
 
-    opened: defer.Deferred = defer.Deferred(cancel)
+    connected: defer.Deferred = defer.Deferred(cancel)
     connector = reactor.connectTCP(
-        host, port, _Factory(opened=opened), timeout=connect_timeout_s
+        host, port, _Factory(connected=connected), timeout=connect_timeout_s
     )
     try:
-        return Success(await opened)
+        return Success(await connected)
     except internet_error.ConnectError as error:
         # Twisted has the same kinds of error for an opening that timed out
         # and one that was cancelled.
@@ -358,18 +360,18 @@
         return sent
     answer = sent.unwrap()
     try:
-        return await _read_small(answer, max_bytes)
+        return await _read_body(answer, max_bytes)
     finally:
         answer.abort()
 
 
-async def _read_small(
+async def _read_body(
     answer: Answer, max_bytes: int
 ) -> Result[tuple[int, bytes], CallFailed]:
     parts: list[bytes] = []
     size = 0
 
-    def take(data: bytes) -> None:
+    def receive(data: bytes) -> None:
         nonlocal size
         size += len(data)
         if size > max_bytes:
@@ -377,7 +379,7 @@
             return
         parts.append(data)
 
-    end = await answer.read(take)
+    end = await answer.read(receive)
     if not end.whole or size > max_bytes:
         reason = end.reason or "the answer is too large"
         return Failure(CallFailed(written=True, reason=reason))
@@ -391,17 +393,17 @@
     return any(reason.check(defer.CancelledError) for reason in reasons)
 
 
-def _reason(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
     inner = getattr(error, "reasons", None)
     if inner:
-        return f"{type(error).__name__}: {_describe(inner[0])}"
+        return f"{type(error).__name__}: {_describe_failure(inner[0])}"
     return type(error).__name__
 
 
-def _describe(failure: Any) -> str:
+def _describe_failure(failure: Any) -> str:
     if failure is None:
         return "unknown"
     inner = getattr(failure.value, "reasons", None)
     if inner:
-        return _describe(inner[0])
+        return _describe_failure(inner[0])
     return failure.type.__name__
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
@@ -20,7 +20,7 @@
 from bulrushgrade_daemon import gatewaymessages
 from bulrushgrade_daemon import peerqueries
 
-FORGET_S = 1.0
+FORGET_PERIOD_S = 1.0
 """Between two searches for entries that nobody ended."""
 
 
@@ -65,7 +65,7 @@
 
     async def start(self) -> None:
         """Begins to drop what nobody ended."""
-        self._tick = self._timers.every(FORGET_S, self._forget)
+        self._tick = self._timers.every(FORGET_PERIOD_S, self._forget)
 
     async def stop(self) -> None:
         """Drops nothing any more."""
@@ -78,10 +78,13 @@
         match message:
             case gatewaymessages.WaitQuery(peer, number):
                 self._send(
-                    peer, self._reply(number, message.engines, message.urgency)
+                    peer,
+                    self._make_wait_reply(
+                        number, message.engines, message.urgency
+                    ),
                 )
             case gatewaymessages.HolderQuery(peer, number, part):
-                self._send(peer, self._reply_part(number, part))
+                self._send(peer, self._make_holder_reply(number, part))
             case gatewaymessages.WaitReply() | gatewaymessages.HolderReply():
                 self._queries.take(message)
             case gatewaymessages.Begun(peer, number, engine):
@@ -95,7 +98,7 @@
             case gatewaymessages.Ended(peer, number, engine):
                 self._queues.end(engine, (peer, number), now)
             case gatewaymessages.HolderUpdate(parts=parts) if parts:
-                self._parts.update(_read_holder(message), now)
+                self._parts.update(_parse_holder(message), now)
 
     def dump(self) -> dict[str, Any]:
         """Returns how much this daemon owns."""
@@ -125,13 +128,13 @@
                 owner: functools.partial(
                     gatewaymessages.WaitQuery,
                     self._own_name,
-                    engines=its,
+                    engines=owned,
                     urgency=urgency,
                 )
-                for owner, its in queried.items()
+                for owner, owned in queried.items()
             }
         )
-        waits_ms = self._reply(0, own, urgency).waits_ms
+        waits_ms = self._make_wait_reply(0, own, urgency).waits_ms
         for reply in replies:
             waits_ms |= reply.waits_ms
         return {engine: ms / 1000 for engine, ms in waits_ms.items()}
@@ -152,7 +155,7 @@
         )
         replies = await self._queries.query({owner: question})
         return [
-            _read_holder(holder)
+            _parse_holder(holder)
             for reply in replies
             for holder in reply.holders
             if holder.parts
@@ -161,7 +164,7 @@
     def begin(
         self,
         engine: str,
-        reading: engineload.PendingPrefill,
+        prefill: engineload.PendingPrefill,
         parts: tuple[prompt_module.PromptPart, ...] = (),
     ) -> Callable[[bool], None]:
         """Reports that a prompt is sent; returns what reports its end.
@@ -171,7 +174,7 @@
 
         Args:
             engine: The engine's id.
-            reading: The reading.
+            prefill: The reading.
             parts: Shared parts that the engine will then have.
         """
         owners, number = self._find_owners(engine), next(self._numbers)
@@ -179,15 +182,15 @@
             peer=self._own_name,
             number=number,
             engine=engine,
-            reading_ms=round(reading.expected_s * 1000),
-            latency_ms=round(reading.latency_s * 1000),
-            urgency=reading.urgency,
+            reading_ms=round(prefill.expected_s * 1000),
+            latency_ms=round(prefill.latency_s * 1000),
+            urgency=prefill.urgency,
         )
         self._report(owners, begun)
         self._report_parts(engine, prefixindex.HolderState.COMING, parts)
         is_reported = False
 
-        def end(was_read: bool) -> None:
+        def end(was_prefilled: bool) -> None:
             nonlocal is_reported
             if is_reported:
                 return
@@ -197,7 +200,7 @@
             )
             self._report(owners, ended)
             state = prefixindex.HolderState.GONE
-            if was_read:
+            if was_prefilled:
                 state = prefixindex.HolderState.KEPT
             self._report_parts(engine, state, parts)
 
@@ -225,7 +228,7 @@
             else:
                 self._send(owner, message)
 
-    def _reply(
+    def _make_wait_reply(
         self, number: int, engines: list[str], urgency: int
     ) -> gatewaymessages.WaitReply:
         now = self._timers.now
@@ -240,7 +243,7 @@
             },
         )
 
-    def _reply_part(
+    def _make_holder_reply(
         self, number: int, part: str
     ) -> gatewaymessages.HolderReply:
         holders = self._parts.find(part, self._timers.now)
@@ -265,7 +268,7 @@
     )
 
 
-def _read_holder(
+def _parse_holder(
     update: gatewaymessages.HolderUpdate,
 ) -> prefixindex.PrefixHolder:
     return prefixindex.PrefixHolder(
--- a/packages/bulrushgrade_daemon/tests/test_cachesharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachesharing.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(slots=False)
-class Chooser:
+class EngineWork:
     """Notes what it is given."""
 
     applied: list = attrs.field(factory=list)
@@ -40,49 +40,49 @@
 def make():
     endpoints = directory.Directory(leaving_use_s=1.0)
     endpoints.put(ENGINE, now=0.0)
-    chooser, gossip = Chooser(), Gossip()
-    sharing = cachesharing.CacheSharing(endpoints=endpoints, work=chooser)
+    work, gossip = EngineWork(), Gossip()
+    sharing = cachesharing.CacheSharing(endpoints=endpoints, work=work)
     sharing.set_gossip(gossip)
-    return sharing, chooser, gossip
+    return sharing, work, gossip
 
 
-def see(sharing, part, tokens):
+def observe(sharing, part, tokens):
     change = enginecache.CacheChange(part=part, tokens=tokens)
     sharing.apply_observed(ENGINE, (change,), reset=False)
 
 
-def test_parts_that_come_and_go_are_advertised():
+def test_long_parts_added_and_dropped_are_advertised():
     sharing, _, gossip = make()
-    see(sharing, "a", 9_000)
-    see(sharing, "a", 0)
+    observe(sharing, "a", 9_000)
+    observe(sharing, "a", 0)
     assert gossip.advertised == [("a", 9_000), ("a", 0)]
 
 
-def test_what_nobody_was_advertised_of_goes_without_a_word():
+def test_drop_of_an_unadvertised_part_is_not_advertised():
     # Engines drop hundreds of short parts a second. Told to all, they took
     # the room of the long ones, and prompts were sent for parts that were
     # gone.
-    sharing, chooser, gossip = make()
-    see(sharing, "a", LONG_TOKENS - 1)
-    see(sharing, "a", 0)
+    sharing, work, gossip = make()
+    observe(sharing, "a", LONG_TOKENS - 1)
+    observe(sharing, "a", 0)
     assert gossip.advertised == []
-    assert chooser.applied == [("a", 0)]
+    assert work.applied == [("a", 0)]
 
 
-def test_a_part_that_shrank_to_little_is_advertised():
-    sharing, chooser, gossip = make()
-    see(sharing, "a", 9_000)
-    see(sharing, "a", 10)
-    see(sharing, "a", 0)
+def test_part_that_became_short_is_advertised():
+    sharing, work, gossip = make()
+    observe(sharing, "a", 9_000)
+    observe(sharing, "a", 10)
+    observe(sharing, "a", 0)
     assert gossip.advertised == [("a", 9_000), ("a", 10)]
-    assert chooser.applied[-1] == ("a", 0)
+    assert work.applied[-1] == ("a", 0)
 
 
-def test_an_engine_that_is_followed_by_another_is_forgotten():
+def test_engine_followed_by_another_daemon_is_forgotten():
     sharing, _, gossip = make()
-    see(sharing, "a", 9_000)
+    observe(sharing, "a", 9_000)
     assert sharing.followed_engines() == [ENGINE]
     gossip.pick_followed = lambda engines: set()
     assert sharing.followed_engines() == []
-    see(sharing, "a", 0)
+    observe(sharing, "a", 0)
     assert gossip.advertised == [("a", 9_000)]
--- a/packages/bulrushgrade_daemon/tests/test_cachewatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachewatch.py
@@ -46,13 +46,13 @@
     assert applied[0] == ("p1", (KEPT,), False)
 
 
-def test_gap_makes_the_belief_void():
+def test_gap_resets_the_known_cache():
     reactor, _, applied, _ = make(found(), found(end=90, lost=True))
     reactor.pump([0.25] * 6)
     assert [reset for _, _, reset in applied[:2]] == [False, True]
 
 
-def test_first_read_does_not_void_what_another_daemon_told():
+def test_first_read_keeps_what_another_daemon_advertised():
     """The daemon that followed an engine dies and this one takes over.
 
     The engine has dropped its oldest changes long ago; this daemon heard them
@@ -63,21 +63,21 @@
     assert applied[0][2] is False
 
 
-def test_restarted_engine_is_read_anew():
+def test_restarted_engine_is_read_from_the_start():
     reactor, read, applied, _ = make(found(), found(epoch="2", end=1))
     reactor.pump([0.25] * 8)
     assert ("p1", (), True) in applied
     assert [since for _, since in read.calls][:3] == [0, 3, 0]
 
 
-def test_silent_engine_is_asked_less_often():
+def test_unresponsive_engine_is_read_less_often():
     failure = Failure(outbound.CallFailed(written=True, reason="timeout"))
     reactor, read, _, _ = make(failure)
     reactor.pump([0.25] * 16)
     assert len(read.calls) <= 3
 
 
-def test_engine_that_is_gone_is_not_asked():
+def test_removed_engine_is_not_read():
     reactor, read, _, engines = make(found())
     reactor.pump([0.25] * 2)
     engines.clear()
--- a/packages/bulrushgrade_daemon/tests/test_crashrecords.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashrecords.py
@@ -37,14 +37,14 @@
 
 
 @pytest.mark.parametrize("key", ["", "f1", "f1/e1", "/e1/7", "f1//7", "f/e/x"])
-def test_key_of_another_writer_names_no_involvement(key):
+def test_malformed_key_names_no_involvement(key):
     assert crashrecords.read_key(key) is None
 
 
 @pytest.mark.parametrize(
     "value", [None, b"", b"x", b"{}", b'{"caller": 1, "zone": 2}']
 )
-def test_value_that_can_t_be_read_is_no_involvement(value):
+def test_malformed_value_is_no_involvement(value):
     key = crashrecords.write_key(involve("f1", "e1").key)
     record = topicreader.KeyedRecord(key=key, value=value)
     assert crashrecords.read_involvement(record) is None
--- a/packages/bulrushgrade_daemon/tests/test_crashsharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashsharing.py
@@ -95,7 +95,7 @@
     assert host.sharing.counts["written"] == 2
 
 
-def test_hosts_count_one_another_s_crashes():
+def test_crashes_seen_by_different_hosts_add_up():
     """Each host saw one crash of a request, and none knew of three."""
     one = Host()
     other = Host(topic=one.topic)
@@ -113,7 +113,7 @@
     }
 
 
-def test_host_that_starts_learns_from_the_whole_list():
+def test_starting_host_loads_the_snapshot():
     one = Host()
     for number in range(3):
         crash = make_crash(f"e{number}", "bad", zone=f"z{number}")
@@ -125,7 +125,7 @@
     assert started.topic.batches == one.topic.batches
 
 
-def test_crashes_of_one_moment_are_written_together():
+def test_simultaneous_crashes_are_written_in_one_batch():
     host = Host()
     for number in range(10):
         host.sharing.observe_crash(make_crash(f"e{number}", f"r{number}"))
@@ -146,7 +146,7 @@
     assert host.broken == []
 
 
-def test_great_failure_while_the_store_is_away_stays_within_bounds():
+def test_pending_records_are_bounded_while_the_store_is_away():
     """A zone failed beside the store; what waited to be written grew on.
 
     A request that was at a crash before is told of all the same.
@@ -155,22 +155,23 @@
     host.sharing.observe_crash(make_crash("e0", "bad", zone="z0"))
     host.pass_time(1.0)
     host.topic.is_away = True
-    for number in range(crashsharing.MOST_WAITING + 100):
+    for number in range(crashsharing.MAX_WAITING + 100):
         host.sharing.observe_crash(make_crash("e1", f"r{number}"))
     host.sharing.observe_crash(make_crash("e2", "bad", zone="z2"))
     waiting = host.sharing.dump()["waiting"]
-    assert waiting <= crashsharing.MOST_WAITING + 1
+    assert waiting <= crashsharing.MAX_WAITING + 1
     assert host.sharing.counts["left_out"] == 100
     host.topic.is_away = False
     host.pass_time(5.0)
     key = crashrecords.write_key(("bad", ("e2", 1)))
     assert key in host.topic.records
     assert all(
-        len(batch) <= crashsharing.MOST_A_WRITE for batch in host.topic.batches
+        len(batch) <= crashsharing.MAX_WRITE_RECORDS
+        for batch in host.topic.batches
     )
 
 
-def test_request_that_ran_to_its_end_is_forgotten_by_all():
+def test_completed_request_is_cleared_on_all_hosts():
     one = Host()
     other = Host(topic=one.topic)
     one.sharing.observe_crash(make_crash("e1", "good"))
@@ -185,7 +186,7 @@
     assert len(one.ledger) == 0
 
 
-def test_drops_are_gathered_and_hold_no_crash_up():
+def test_deletions_are_batched_and_delay_no_crash():
     """Each request that met a crash and went on cost a call to the store.
 
     While drops were gathered, a crash waited behind them.
@@ -204,7 +205,7 @@
     assert len(host.topic.batches) == 2
 
 
-def test_request_that_ends_whole_after_all_is_released():
+def test_quarantined_request_that_completes_is_released():
     host = Host()
     for number in range(3):
         host.sharing.observe_crash(
@@ -228,7 +229,7 @@
     assert len(host.topic.records) == 1
 
 
-def test_one_host_drops_old_records():
+def test_only_the_leader_deletes_old_records():
     for leads in (True, False):
         host = Host(leads=leads)
         host.sharing.observe_crash(make_crash("e1", "good"))
@@ -237,7 +238,7 @@
         assert len(host.topic.records) == (0 if leads else 1)
 
 
-def test_record_of_another_writer_changes_nothing():
+def test_unreadable_record_is_counted_and_ignored():
     host = Host()
     host.sharing.apply_records(
         (
@@ -251,7 +252,7 @@
     assert host.lines.count("record_unreadable") == 1
 
 
-def test_quarantine_that_begins_anew_is_logged_with_its_length():
+def test_renewed_quarantine_is_logged_with_its_duration():
     host = Host()
     for number in range(3):
         host.sharing.observe_crash(
--- a/packages/bulrushgrade_daemon/tests/test_crashwatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashwatch.py
@@ -46,11 +46,11 @@
 
     def __init__(self):
         self.clock, timers, self.broken = fakes.make_timers()
-        self.refusal: str | None = "ConnectionRefusedError"
+        self.connect_error: str | None = "ConnectionRefusedError"
         self.leaving: set[str] = set()
         self.checked: list[str] = []
         self.crashes: list[crashwatch.Crash] = []
-        self.held: defer.Deferred | None = None
+        self.check_blocker: defer.Deferred | None = None
         self.lines = fakes.Lines()
         self.watch = crashwatch.CrashWatch(
             timers=timers,
@@ -63,20 +63,20 @@
 
     async def _check(self, endpoint):
         self.checked.append(endpoint.id)
-        if self.held is not None:
-            await self.held
-        return self.refusal
+        if self.check_blocker is not None:
+            await self.check_blocker
+        return self.connect_error
 
-    def settle(self):
-        self.clock.advance(crashwatch.GATHER_S)
+    def run_check(self):
+        self.clock.advance(crashwatch.CHECK_DELAY_S)
 
 
-def test_requests_of_one_crash_are_told_together_after_one_check():
+def test_requests_of_one_crash_are_reported_together_after_one_check():
     scene = Scene()
     scene.clock.advance(1.0)
     scene.watch.observe_broken_answer(make_request("r1", began_at=0.9))
     scene.watch.observe_broken_answer(make_request("r2", body=b""))
-    scene.settle()
+    scene.run_check()
     (crash,) = scene.crashes
     assert scene.checked == ["e1"]
     assert crash.endpoint == ENGINE
@@ -90,70 +90,70 @@
     assert scene.watch.counts == {"checks": 1, "crashes": 1, "requests": 2}
 
 
-def test_answer_that_breaks_off_while_its_endpoint_is_checked_is_told_too():
+def test_answer_that_breaks_during_the_check_is_included():
     scene = Scene()
-    scene.held = defer.Deferred()
+    scene.check_blocker = defer.Deferred()
     scene.watch.observe_broken_answer(make_request("r1"))
-    scene.settle()
+    scene.run_check()
     scene.watch.observe_broken_answer(make_request("r2"))
-    scene.held.callback(None)
+    scene.check_blocker.callback(None)
     (crash,) = scene.crashes
     assert len(crash.runs) == 2
 
 
-def test_torn_answer_of_an_endpoint_that_goes_on_is_no_crash():
+def test_truncated_answer_of_a_live_endpoint_is_no_crash():
     """An endpoint tears an answer; its request was taken for harmful."""
     scene = Scene()
-    scene.refusal = None
+    scene.connect_error = None
     scene.watch.observe_broken_answer(make_request("r1", began_at=0.0))
-    scene.settle()
+    scene.run_check()
     assert scene.checked == ["e1"]
     assert scene.crashes == []
 
 
-def test_planned_end_is_no_crash():
+def test_end_of_a_draining_endpoint_is_no_crash():
     """An endpoint that drains ends with a request; that was to blame."""
     scene = Scene()
     scene.leaving.add("e1")
     scene.watch.observe_broken_answer(make_request("r1", began_at=0.0))
-    scene.settle()
+    scene.run_check()
     assert scene.checked == []
 
 
 def test_request_waits_until_its_endpoint_is_checked():
     """It was sent on before its third crash was known, to a fourth engine."""
     scene = Scene()
-    scene.held = defer.Deferred()
+    scene.check_blocker = defer.Deferred()
     scene.watch.observe_broken_answer(make_request("r1"))
-    settled = fakes.run(scene.watch.wait_for_check(ENGINE))
-    scene.settle()
-    assert not settled.called
-    scene.held.callback(None)
-    assert settled.called
+    waiting = fakes.run(scene.watch.wait_for_check(ENGINE))
+    scene.run_check()
+    assert not waiting.called
+    scene.check_blocker.callback(None)
+    assert waiting.called
     assert len(scene.crashes) == 1
 
 
-def test_check_that_takes_long_holds_no_request_up():
+def test_slow_check_delays_no_request():
     scene = Scene()
-    scene.held = defer.Deferred()
+    scene.check_blocker = defer.Deferred()
     scene.watch.observe_broken_answer(make_request("r1"))
-    settled = fakes.run(scene.watch.wait_for_check(ENGINE))
-    scene.clock.advance(crashwatch.SETTLE_S)
-    assert settled.called
-    scene.held.callback(None)
+    waiting = fakes.run(scene.watch.wait_for_check(ENGINE))
+    scene.clock.advance(crashwatch.MAX_CHECK_WAIT_S)
+    assert waiting.called
+    scene.check_blocker.callback(None)
     assert len(scene.crashes) == 1
     assert scene.broken == []
 
 
-def test_nobody_waits_for_an_endpoint_that_needs_no_check():
+def test_endpoint_without_a_pending_check_needs_no_wait():
     scene = Scene()
     assert fakes.run(scene.watch.wait_for_check(ENGINE)).called
 
 
-def test_crash_with_very_many_requests_is_told_within_a_limit():
+def test_requests_reported_for_one_crash_are_limited():
     scene = Scene()
-    for number in range(crashwatch.MOST_RUNS + 10):
+    for number in range(crashwatch.MAX_RUNS + 10):
         scene.watch.observe_broken_answer(make_request(f"r{number}"))
-    scene.settle()
+    scene.run_check()
     (crash,) = scene.crashes
-    assert len(crash.runs) == crashwatch.MOST_RUNS
+    assert len(crash.runs) == crashwatch.MAX_RUNS
--- a/packages/bulrushgrade_daemon/tests/test_endpointchooser.py
+++ b/packages/bulrushgrade_daemon/tests/test_endpointchooser.py
@@ -103,7 +103,7 @@
                 for _ in range(3):
                     self.chooser.observe_failure(engine)
 
-    def seen(self):
+    def visible_engines(self):
         (view,) = self.chooser.engine_views()
         return [found.engine.id for found in view.engines]
 
@@ -114,8 +114,8 @@
     def choose(self, request):
         """Returns the ids of the reading and the generating engine."""
         found = self.chooser.choose(request)
-        reader = request.plan and request.plan.prefill
-        return reader and reader.id, found and found.id
+        prefiller = request.plan and request.plan.prefill
+        return prefiller and prefiller.id, found and found.id
 
     def fail(self, id, outcome, request=None):
         ended = inflight.AttemptEnd(outcome=outcome, reason="test")
@@ -123,7 +123,7 @@
             request or make_request(), self.find(id), ended
         )
 
-    def let_stream(self, id):
+    def start_stream(self, id):
         """Has an engine stream an answer; returns what takes its events."""
         engine, request = self.find(id), make_request()
         self.chooser.choose(request)
@@ -145,26 +145,26 @@
     )
 
 
-def test_engines_that_fail_here_and_nobody_uses_are_lost():
+def test_engines_ejected_here_and_unused_by_peers_are_lost():
     scene = Scene()
     scene.eject("d1", "d2")
-    assert scene.seen() == ["p1", "p2"]
+    assert scene.visible_engines() == ["p1", "p2"]
 
 
-def test_engines_that_only_fail_here_are_not_lost():
+def test_ejected_engines_that_stream_to_peers_are_not_lost():
     """A daemon fails at both engines that generate, others do not.
 
-    It had a reader change its role because "no decode engine", and prompts
-    waited for the rest of the day behind one reader fewer.
+    It had a prefiller change its role because "no decode engine", and prompts
+    waited for the rest of the day behind one prefiller fewer.
     """
     scene = Scene()
     scene.eject("d1", "d2")
     share = peerloads.EngineShare(streams=3, tokens=9_000)
     scene.peers.update_group("h2", 1, {"d1": share}, scene.timers.now)
-    assert scene.seen() == ["p1", "p2", "d1"]
+    assert scene.visible_engines() == ["p1", "p2", "d1"]
 
 
-def test_engines_that_refuse_connections_while_they_stream_are_full():
+def test_engine_that_refuses_connections_while_streaming_is_full():
     """Two of six engines crash in a burst; the others take no more connections.
 
     Each host took all of them out for a second after two refused connections,
@@ -172,18 +172,18 @@
     while the engines emptied to a fifth of their slots.
     """
     scene = Scene()
-    note_events = scene.let_stream("d1")
+    observe_events = scene.start_stream("d1")
     for _ in range(4):
         scene.reactor.advance(0.1)
-        note_events(1)
+        observe_events(1)
         scene.fail("d1", attempts.Outcome.UNREACHED)
         scene.fail("d2", attempts.Outcome.UNREACHED)
     assert scene.choose(make_request())[1] == "d1"
 
 
-def test_engines_that_have_stopped_streaming_are_lost():
+def test_engine_that_has_stopped_streaming_is_ejected():
     scene = Scene()
-    scene.let_stream("d1")(1)
+    scene.start_stream("d1")(1)
     scene.reactor.advance(0.5)
     for _ in range(2):
         scene.fail("d1", attempts.Outcome.UNREACHED)
@@ -191,7 +191,7 @@
         assert scene.choose(make_request())[1] == "d2"
 
 
-def test_generating_engines_that_were_ejected_are_better_than_none():
+def test_ejected_decoders_are_used_when_all_are_ejected():
     """All engines that generate fail twice, for other reasons each.
 
     Those that read were left, so that nothing seemed amiss; every request was
@@ -202,7 +202,7 @@
     assert scene.choose(make_request())[1] in ("d1", "d2")
 
 
-def test_an_engine_that_is_another_one_now_is_left_at_once():
+def test_prefiller_whose_address_was_taken_over_is_ejected_at_once():
     """An engine that read prompts crashed and its address was taken over.
 
     Until its record lapsed, every prompt that was sent there was refused.
@@ -213,7 +213,7 @@
         assert scene.choose(make_request(tokens=20_000))[0] == other
 
 
-def test_a_full_engine_is_not_ejected():
+def test_full_engine_is_not_ejected():
     scene = Scene()
     for _ in range(5):
         scene.fail("d1", attempts.Outcome.TURNED_AWAY)
@@ -222,7 +222,7 @@
     assert scene.choose(make_request())[1] == "d1"
 
 
-def test_a_long_prompt_that_will_be_late_lets_all_others_go_first():
+def test_long_prompt_expected_late_gets_lowest_urgency():
     """A burst of long prompts comes, half of which could be in time.
 
     Read in the order of arrival, all of them were late: the last as much as
@@ -239,7 +239,7 @@
     assert early.urgency == DRAFTS.urgency
 
 
-def test_work_of_a_more_urgent_kind_keeps_its_place_when_it_is_late():
+def test_late_work_of_a_more_urgent_route_keeps_its_urgency():
     """Short prompts wait in a burst, some longer than their target.
 
     Behind all long prompts they were not late but lost: their callers left.
@@ -251,15 +251,15 @@
     assert request.urgency == QUERIES.urgency
 
 
-def test_a_stream_that_lets_others_go_first_counts_when_it_runs():
+def test_stream_of_lowest_urgency_counts_from_its_first_event():
     scene = Scene()
     request = make_request(tokens=30_000, route=DRAFTS)
     scene.choose(request)
-    notes = scene.work.begin_stream(request, scene.find("d1"))
+    observer = scene.work.begin_stream(request, scene.find("d1"))
     assert scene.work.shares() == {}
-    notes.events(1)
+    observer.events(1)
     assert scene.work.shares()["d1"].streams == 1
-    notes.ended()
+    observer.ended()
     assert scene.work.shares() == {}
 
 
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -84,11 +84,11 @@
 
     def __init__(self, ledger):
         self._ledger = ledger
-        self.noted = []
+        self.checked = []
         self.is_crash = True
 
     def observe_broken_answer(self, request):
-        self.noted.append(request.endpoint.id)
+        self.checked.append(request.endpoint.id)
         if self.is_crash:
             endpoint = request.endpoint
             involvement = involve(
@@ -112,12 +112,12 @@
         self.ends = list(ends)
         self.sent = []
         self.avoided = []
-        self.whole = []
+        self.completed = []
         self.calls = self.chooser = self
         log = requestlog.RequestLog(
             log=self.lines.make(), now=lambda: timers.now
         )
-        words = dialect.Dialect(
+        fake_dialect = dialect.Dialect(
             read_request_info=lambda headers: dialect.RequestInfo(
                 request_id="r1",
                 deadline_s=3.0,
@@ -143,20 +143,20 @@
                 timers=timers,
                 admission=requestadmission.RequestAdmission(
                     timers=timers,
-                    dialect=words,
+                    dialect=fake_dialect,
                     table=lambda: TABLE,
                     ledger=self.ledger,
                     ends_in_s=lambda: None,
                     log=log,
                     rng=random.Random(1),
                 ),
-                dialect=words,
+                dialect=fake_dialect,
                 chooser=self,
                 work=work,
                 calls=self,
                 crashes=self.watch,
                 ledger=self.ledger,
-                observe_completion=self.whole.append,
+                observe_completion=self.completed.append,
                 log=log,
                 rng=random.Random(1),
                 on_broken=self.broken.append,
@@ -203,7 +203,7 @@
         return await ended if isinstance(ended, defer.Deferred) else ended
 
 
-def test_request_is_not_sent_on_after_its_third_crash():
+def test_request_is_not_retried_after_its_third_crash():
     """A request was sent to a fourth endpoint by the host that saw three."""
     scene = Scene(LOST, LOST, LOST)
     caller = scene.send()
@@ -224,50 +224,51 @@
     assert scene.send().answers
 
 
-def test_next_try_of_a_caller_avoids_the_zones_of_earlier_ones():
+def test_callers_retry_avoids_the_zones_of_earlier_crashes():
     scene = Scene(LOST, LOST, LOST)
     scene.ledger.add_involvement(
-        involve(name_request(), "e9", zone="z9"), now=0.0
+        involve(make_fingerprint(), "e9", zone="z9"), now=0.0
     )
     scene.send()
     assert scene.avoided[0] == {"z9"}
 
 
-def test_answer_that_did_not_break_off_needs_no_check():
+def test_complete_failure_answer_triggers_no_endpoint_check():
     """Endpoints that answered were checked, at the price of a connection."""
     answered = attrs.evolve(LOST, connection_lost=False)
     scene = Scene(answered, answered, answered)
     scene.send()
-    assert scene.watch.noted == []
+    assert scene.watch.checked == []
 
 
-def test_answer_under_way_goes_on_and_clears_its_request():
+def test_whole_answer_clears_a_quarantined_request():
     """Where it ends whole, its request was not to blame."""
     answer = defer.Deferred()
     scene = Scene(answer)
     caller = scene.send()
     for number in range(3):
         scene.ledger.add_involvement(
-            involve(name_request(), f"e{number}", zone=f"z{number}"), now=0.0
+            involve(make_fingerprint(), f"e{number}", zone=f"z{number}"),
+            now=0.0,
         )
     assert caller.answers == []
     answer.callback(Answer())
     assert caller.answers == [200]
-    assert scene.whole == [name_request()]
+    assert scene.completed == [make_fingerprint()]
 
 
 def test_silent_endpoint_is_checked_when_its_caller_leaves():
     """Engines whose hosts vanished closed no connection and were not found."""
-    for silent_s, noted in ((0.5, []), (1.5, ["e1"])):
+    for silent_s, checked in ((0.5, []), (1.5, ["e1"])):
         scene = Scene(defer.Deferred())
         caller = scene.send()
         scene.clock.advance(silent_s)
         caller.gone = True
         caller.on_gone()
-        assert scene.watch.noted == noted
+        assert scene.watch.checked == checked
 
 
-def name_request():
+def make_fingerprint():
     """Returns the fingerprint of what a caller of the scene sends."""
     request = inflight.InFlight(
         caller=Caller(), info=None, route=SAFE, service="llm", deadline=3.0
@@ -275,7 +276,7 @@
     return request.fingerprint
 
 
-def test_request_that_breaks_its_own_task_ends_no_host():
+def test_unexpected_error_in_a_request_does_not_stop_the_host():
     """A request met a fault of the host, and so did each host after it.
 
     The process ended with all that it served, and the caller's next try took
@@ -291,7 +292,7 @@
     assert scene.forwarder.counts["ended_broken"] == 1
 
 
-def test_stream_that_breaks_its_own_task_is_cut():
+def test_stream_with_an_unexpected_error_is_cut():
     answer = defer.Deferred()
     scene = Scene(answer)
     caller = scene.send()
--- a/packages/bulrushgrade_daemon/tests/test_inflight.py
+++ b/packages/bulrushgrade_daemon/tests/test_inflight.py
@@ -68,7 +68,7 @@
     body: bytes = b"draft"
 
 
-def name(caller, workspace=None):
+def make_fingerprint(caller, workspace=None):
     request = inflight.InFlight(
         caller=caller,
         info=None,
@@ -80,17 +80,19 @@
     return request.fingerprint
 
 
-def test_callers_next_try_has_the_same_fingerprint():
+def test_callers_retry_has_the_same_fingerprint():
     """A request came again from another address, and was not known."""
-    assert name(Sent()) == name(Sent(arrived_at=5.0, address="10.0.0.2"))
-    assert name(Sent()) != name(Sent(body=b""))
-    assert name(Sent()) != name(Sent(uri=b"/tag/b"))
+    assert make_fingerprint(Sent()) == make_fingerprint(
+        Sent(arrived_at=5.0, address="10.0.0.2")
+    )
+    assert make_fingerprint(Sent()) != make_fingerprint(Sent(body=b""))
+    assert make_fingerprint(Sent()) != make_fingerprint(Sent(uri=b"/tag/b"))
 
 
 def test_same_request_of_another_workspace_is_another():
     one = workspaces.Workspace(name="dealer")
     other = workspaces.Workspace(name="lessor")
-    known = name(Sent(), one)
-    assert known == name(Sent(address="10.0.0.2"), one)
-    assert known != name(Sent(), other)
-    assert known != name(Sent())
+    known = make_fingerprint(Sent(), one)
+    assert known == make_fingerprint(Sent(address="10.0.0.2"), one)
+    assert known != make_fingerprint(Sent(), other)
+    assert known != make_fingerprint(Sent())
--- a/packages/bulrushgrade_daemon/tests/test_outbound.py
+++ b/packages/bulrushgrade_daemon/tests/test_outbound.py
@@ -58,13 +58,13 @@
 
 def send():
     reactor = Reactor()
-    sending = fakes.run(
+    pending_send = fakes.run(
         outbound.send(reactor, "10.0.0.1", 80, REQUEST, connect_timeout_s=0.3)
     )
-    return reactor.connectors[0], sending
+    return reactor.connectors[0], pending_send
 
 
-def test_opening_that_fails_is_a_value():
+def test_failed_connect_is_returned_as_a_failure():
     """A host is cut off and the opening of a connection times out.
 
     Twisted's timeout is a kind of the error that it gives for a cancelled
@@ -72,41 +72,41 @@
     without a word, and the gateway served for ever by what it knew then.
     """
     for reason in (error.TimeoutError(), error.ConnectionRefusedError()):
-        connector, sending = send()
+        connector, pending_send = send()
         ended = []
-        sending.addBoth(ended.append)
+        pending_send.addBoth(ended.append)
         connector.fail(reason)
         assert isinstance(ended[0], Failure), ended
         assert ended[0].failure().written is False
 
 
-def test_cancelled_opening_is_cancelled():
-    _, sending = send()
+def test_cancelled_connect_raises_cancelled_error():
+    _, pending_send = send()
     ended = []
-    sending.addErrback(lambda f: ended.append(f.type))
-    sending.cancel()
+    pending_send.addErrback(lambda f: ended.append(f.type))
+    pending_send.cancel()
     assert ended == [defer.CancelledError]
 
 
 def find_connect_error():
     reactor = Reactor()
-    finding = fakes.run(
+    pending = fakes.run(
         outbound.find_connect_error(
             reactor, "10.0.0.1", 80, connect_timeout_s=0.3
         )
     )
     ended = []
-    finding.addBoth(ended.append)
+    pending.addBoth(ended.append)
     return reactor.connectors[0], ended
 
 
-def test_refused_connection_is_told_by_its_reason():
+def test_refused_connection_is_reported_with_its_reason():
     connector, ended = find_connect_error()
     connector.fail(error.ConnectionRefusedError())
     assert ended == ["ConnectionRefusedError"]
 
 
-def test_connection_that_opens_is_dropped_and_no_refusal():
+def test_opened_connection_is_closed_and_reports_no_error():
     connector, ended = find_connect_error()
     transport = Transport()
     connector.open(transport)
--- a/packages/bulrushgrade_daemon/tests/test_placementindex.py
+++ b/packages/bulrushgrade_daemon/tests/test_placementindex.py
@@ -12,7 +12,7 @@
 PARTS = (prompt_module.PromptPart(id="p", tokens=9_000),)
 
 
-def make_reading(expected_s):
+def make_prefill(expected_s):
     return engineload.PendingPrefill(
         expected_s=expected_s, sent_at=0.0, tokens=9_000
     )
@@ -45,14 +45,14 @@
         if peer in self.indexes:
             self.indexes[peer].receive(gatewaymessages.parse(datagram))
 
-    def settle(self):
+    def deliver_all(self):
         for _ in range(4):
             self.reactor.advance(0.001)
 
     def result_of(self, coroutine):
         found = []
         defer.ensureDeferred(coroutine).addCallback(found.append)
-        self.settle()
+        self.deliver_all()
         return found[0]
 
     def waits(self, name, *engines):
@@ -63,9 +63,9 @@
         return [(holder.engine, holder.state.value) for holder in found]
 
 
-def test_what_one_daemon_sent_another_learns():
+def test_owner_reports_waits_of_work_sent_by_another_daemon():
     fleet = Fleet("h1", "h2", "h3", owner="h3")
-    end = fleet.indexes["h1"].begin("e", make_reading(0.4))
+    end = fleet.indexes["h1"].begin("e", make_prefill(0.4))
     waits = fleet.waits("h2", "e", "f")
     assert abs(waits["e"] - 0.4) < 0.01
     assert waits["f"] == 0.0
@@ -73,15 +73,15 @@
     assert fleet.waits("h2", "e") == {"e": 0.0}
 
 
-def test_the_owner_queries_nobody():
+def test_owner_answers_its_own_queries_locally():
     fleet = Fleet("h1", "h2", owner="h1")
-    fleet.indexes["h1"].begin("e", make_reading(0.4), PARTS)
+    fleet.indexes["h1"].begin("e", make_prefill(0.4), PARTS)
     assert fleet.waits("h1", "e") == {"e": 0.4}
     assert fleet.holders("h1") == [("e", "coming")]
     assert fleet.sent == []
 
 
-def test_an_owner_that_is_gone_leaves_its_engines_out():
+def test_engines_of_an_absent_owner_are_left_out():
     fleet = Fleet("h1", owner="gone")
     found = []
     pending = defer.ensureDeferred(fleet.indexes["h1"].query_waits(["e"], 2))
@@ -90,47 +90,47 @@
     assert found == [{}]
 
 
-def test_a_part_is_known_while_it_is_read():
+def test_part_is_known_while_it_is_prefilled():
     # The same long part comes to two daemons within the time of reading it.
     # Each had it read, as it only heard of the other's a second later.
     fleet = Fleet("h1", "h2", "h3", owner="h3")
-    end = fleet.indexes["h1"].begin("e", make_reading(0.4), PARTS)
+    end = fleet.indexes["h1"].begin("e", make_prefill(0.4), PARTS)
     assert fleet.holders("h2") == [("e", "coming")]
     end(True)
     end(False)
     assert fleet.holders("h2") == [("e", "kept")]
 
 
-def test_a_part_that_was_not_read_is_not_waited_for():
+def test_part_that_was_not_prefilled_has_no_holder():
     fleet = Fleet("h1", "h2", "h3", owner="h3")
-    end = fleet.indexes["h1"].begin("e", make_reading(0.4), PARTS)
+    end = fleet.indexes["h1"].begin("e", make_prefill(0.4), PARTS)
     end(False)
     assert fleet.holders("h2") == []
 
 
-def test_a_host_that_does_not_hear_the_first_owner_queries_the_next():
+def test_host_that_cannot_reach_the_first_owner_queries_the_next():
     # A link is cut between two hosts, so that they do not agree on who owns
     # a queue. Each had a queue of its own, with some of the prompts in it.
     fleet = Fleet("h1", "h2", "h3", "h4", owner="h3")
     fleet.owners = ["h3", "h4"]
-    end = fleet.indexes["h1"].begin("e", make_reading(0.4), PARTS)
-    fleet.settle()
+    end = fleet.indexes["h1"].begin("e", make_prefill(0.4), PARTS)
+    fleet.deliver_all()
     fleet.owners = ["h4"]
     assert fleet.waits("h2", "e")["e"] > 0.3
     assert fleet.holders("h2") == [("e", "coming")]
     fleet.owners = ["h3", "h4"]
     end(True)
-    fleet.settle()
+    fleet.deliver_all()
     fleet.owners = ["h4"]
     assert fleet.waits("h2", "e") == {"e": 0.0}
 
 
-def test_an_entry_that_nobody_ends_is_dropped():
+def test_entry_that_is_never_ended_expires():
     fleet = Fleet("h1", "h2", owner="h2")
     owner = fleet.indexes["h2"]
     defer.ensureDeferred(owner.start())
-    fleet.indexes["h1"].begin("e", make_reading(60.0), PARTS)
-    fleet.settle()
+    fleet.indexes["h1"].begin("e", make_prefill(60.0), PARTS)
+    fleet.deliver_all()
     assert owner.dump()["readings"] == owner.dump()["parts"] == 1
     for _ in range(12):
         fleet.reactor.advance(1.0)
@@ -138,7 +138,7 @@
     defer.ensureDeferred(owner.stop())
 
 
-def test_an_update_without_parts_is_ignored():
+def test_update_without_parts_is_ignored():
     fleet = Fleet("h1", owner="h1")
     update = gatewaymessages.HolderUpdate(
         engine="e", state=prefixindex.HolderState.KEPT, parts=[]
