--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
@@ -1,4 +1,4 @@
-"""Passes an endpoint's answer to the caller, whole or event by event."""
+"""Forwards an endpoint's answer to the caller, whole or event by event."""
 
 from collections.abc import Callable
 
@@ -9,8 +9,8 @@
 from bulrushgrade_daemon import inflight
 
 MAX_BUFFERED_BYTES = 262_144
-"""Of an answer that is buffered until it is whole, so that a torn one can be
-replaced. What is longer goes out as it arrives."""
+"""Answers up to this size are buffered until complete, so that a truncated one
+can be replaced by a retry. Longer ones are forwarded as they arrive."""
 
 MISDIRECTED_REQUEST = 421
 TOO_MANY_REQUESTS = 429
@@ -22,18 +22,18 @@
         http.SERVICE_UNAVAILABLE,
     }
 )
-"""Statuses that tell a caller that its request has not run and will not."""
+"""Statuses that tell a caller that its request has not run and won't run."""
 
 
 def is_failure(status: int) -> bool:
-    """Tells whether a status says that a run failed."""
+    """Returns whether a status means that the request failed."""
     return status >= http.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
 
 
 async def read_failure(
     request: inflight.InFlight, dialect: dialect_module.Dialect
 ) -> inflight.AttemptEnd:
-    """Reads an endpoint's failure, to be passed on if nothing better comes."""
+    """Reads an error answer, which is forwarded if no retry succeeds."""
     answer = request.endpoint_answer
     parts: list[bytes] = []
     end = await answer.read(parts.append)
@@ -48,8 +48,8 @@
         fields=dialect.write_answer_fields(answer.headers),
         body=b"".join(parts),
     )
-    # To the caller these say that nothing ran, which this endpoint does not
-    # say.
+    # These would tell the caller that nothing ran, which the endpoint did
+    # not guarantee.
     if answer.status in NOT_RUN_STATUSES:
         failure = None
     return inflight.AttemptEnd(
@@ -64,10 +64,10 @@
     dialect: dialect_module.Dialect,
     on_arrival: Callable[[], None],
 ) -> inflight.AttemptEnd | None:
-    """Sends an answer once it is whole, or as it comes if it is long.
+    """Forwards an answer once it is complete, or as it arrives if it is long.
 
     Returns:
-        None where the caller has got all of it.
+        None if the caller got the complete answer.
     """
     caller, answer = request.caller, request.endpoint_answer
     buffered: list[bytes] = []
@@ -108,16 +108,16 @@
     on_arrival: Callable[[], None],
     on_events: Callable[[int], None],
 ) -> inflight.AttemptEnd | None:
-    """Sends each event as soon as it is whole.
+    """Forwards each event as soon as it is complete.
 
     Args:
-        request: Whose answer it is.
+        request: The request that is answered.
         dialect: Translates headers.
-        on_arrival: Called with each arrival of bytes.
-        on_events: Called with how many events came together.
+        on_arrival: Called for each chunk of bytes.
+        on_events: Called with the number of events that arrived together.
 
     Returns:
-        None where the caller has got all of them.
+        None if the caller got all events.
     """
     caller, splitter, answer = (
         request.caller,
@@ -161,7 +161,7 @@
 ) -> None:
     request.history.begun = True
     fields = dialect.write_answer_fields(request.endpoint_answer.headers)
-    # A caller that reads slowly stops the endpoint instead of filling the
+    # A caller that reads slowly pauses the endpoint instead of filling the
     # memory of this process.
     request.caller.pace(request.endpoint_answer.producer)
     request.caller.begin(request.endpoint_answer.status, fields, None)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachesharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachesharing.py
@@ -1,4 +1,4 @@
-"""Shares among gateways what each sees of engines' caches."""
+"""Shares changes of engines' caches among gateways."""
 
 from bulrushgrade import directory as directory_module
 from bulrushgrade import enginecache
@@ -7,7 +7,7 @@
 
 
 class CacheSharing:
-    """Takes changes of caches from engines and from peers."""
+    """Applies changes of caches that engines and peers report."""
 
     def __init__(
         self,
@@ -15,24 +15,24 @@
         endpoints: directory_module.Directory,
         work: enginework.EngineWork,
     ):
-        """Makes sharing that advertises nothing yet.
+        """Creates the service without advertised parts.
 
         Args:
-            endpoints: The endpoints that are known.
-            work: Learns what engines keep.
+            endpoints: The known endpoints.
+            work: Tracks the contents of engines' caches.
         """
         self._endpoints = endpoints
         self._work = work
         self._gossip: loadgossip.LoadGossip | None = None
-        # Parts that peers know to be kept, by engine.
+        # Cached parts that peers know of, by engine.
         self._advertised: dict[tuple[str, int], set[str]] = {}
 
     def set_gossip(self, gossip: loadgossip.LoadGossip) -> None:
-        """Sets what advertises; it needs `apply_advertised` when it is made."""
+        """Sets the gossip, whose constructor needs `apply_advertised`."""
         self._gossip = gossip
 
     def followed_engines(self) -> list[directory_module.Registration]:
-        """Returns the engines that this daemon is the one to follow."""
+        """Returns the engines whose caches this daemon follows."""
         engines = {
             registration.id: registration
             for registration in self._endpoints.registrations
@@ -53,10 +53,11 @@
         *,
         reset: bool,
     ) -> None:
-        """Takes what this daemon saw of an engine and advertises it."""
+        """Applies changes that this daemon observed and advertises them."""
         advertised = [c for c in changes if self._is_relevant(engine, c)]
         self._gossip.advertise_changes(engine.id, tuple(advertised))
-        # What this daemon had read itself may go without peers knowing of it.
+        # The cache may have dropped parts of this daemon's own prompts that
+        # peers were never told about.
         gone = [c for c in changes if c.tokens == 0 and c not in advertised]
         self._work.apply_cache(engine, (*gone, *advertised), reset=reset)
 
@@ -65,10 +66,10 @@
         engine: directory_module.Registration,
         change: enginecache.CacheChange,
     ) -> bool:
-        """Returns whether peers need to learn of a change; notes that they do.
+        """Returns whether a change is advertised; records the part if so.
 
-        Short parts are read faster than fetched, so nobody needs to know of
-        them. Most of what engines drop are such parts.
+        Short parts are prefilled faster than fetched, so peers don't need to
+        know them. Most of the parts that engines drop are short.
         """
         advertised = self._advertised.setdefault(engine.incarnation, set())
         if self._work.is_long_part(engine, change.tokens):
@@ -82,7 +83,7 @@
     def apply_advertised(
         self, engine: str, changes: tuple[enginecache.CacheChange, ...]
     ) -> None:
-        """Takes what a peer saw of an engine."""
+        """Applies changes that a peer observed at an engine."""
         known = self._endpoints.find(engine)
         if known is not None:
             self._work.apply_cache(known, changes, reset=False)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
@@ -1,8 +1,8 @@
-"""Follows what each engine keeps in its cache.
+"""Follows the contents of engines' caches.
 
 Engines number the changes of their caches and keep the newest of them. A
-change is seen late or, now and then, never; a belief that is wrong costs a
-prompt that is read again, no more.
+change is read late and occasionally missed; the only cost of an outdated view
+is a prompt that is prefilled again.
 """
 
 from collections.abc import Awaitable
@@ -19,22 +19,23 @@
 from bulrushgrade_daemon import task
 
 READ_PERIOD_S = 0.5
-"""Between two reads of an engine. A part is used again after ten seconds or
-so; half a second of not knowing costs one in twenty the better place."""
+"""Interval between reads of an engine. A part is reused after about ten
+seconds; a delay of half a second means that one prompt in twenty is placed
+without knowing of it."""
 
 RETRY_PERIOD_S = 2.0
-"""Between two reads of an engine that does not answer."""
+"""Interval between reads of an engine that does not answer."""
 
 
 @attrs.frozen(kw_only=True)
 class CacheChanges:
-    """What changed in an engine's cache.
+    """A range of the changes of an engine's cache.
 
     Attributes:
-        epoch: Another one after each start of the engine.
-        end: Where the next changes begin.
+        epoch: Identifies the engine's run; changes with each start.
+        end: Number of the first change after these.
         lost: Whether changes before these are missing.
-        changes: In their order.
+        changes: The changes in their order.
     """
 
     epoch: str
@@ -55,9 +56,9 @@
 
     Attributes:
         epoch: The epoch of the last read; None before the first.
-        next: Where the next changes begin.
-        next_read_at: When to read next.
-        is_reading: Whether a read is under way.
+        next: Number of the first change to read.
+        next_read_at: Time of the next read.
+        is_reading: Whether a read is in progress.
     """
 
     epoch: str | None = None
@@ -67,7 +68,7 @@
 
 
 class CacheWatch:
-    """Reads every engine's changes at a pace."""
+    """Reads every followed engine's changes periodically."""
 
     name = "cachewatch"
     requires = ("timer",)
@@ -81,14 +82,15 @@
         apply: Callable[..., None],
         on_broken: Callable[[str], None],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
             timers: The timer service.
-            engines: Returns the engines that this daemon is to follow.
+            engines: Returns the engines that this daemon follows.
             read: Returns an engine's changes from a number on.
-            apply: Takes an engine, its changes, and `reset`.
-            on_broken: Called with the reason where an invariant is broken.
+            apply: Applies an engine's changes; `reset` tells it to drop the
+                earlier ones first.
+            on_broken: Called with the reason if an invariant is violated.
         """
         self._timers = timers
         self._engines = engines
@@ -102,23 +104,23 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Reads and failed reads since the start."""
+        """Number of reads and of failed reads."""
         return {"reads": self._reads, "failed": self._failures}
 
     async def start(self) -> None:
-        """Begins to read."""
+        """Starts to read."""
         self._tick = self._timers.every(READ_PERIOD_S / 2, self._read_due)
 
     async def stop(self) -> None:
-        """Begins no more reads."""
+        """Starts no more reads."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns how many engines are followed."""
+        """Returns the number of followed engines and the counts."""
         return {"engines": len(self._positions), **self.counts}
 
     def _read_due(self) -> None:
@@ -152,7 +154,7 @@
         position.next_read_at = self._timers.now + READ_PERIOD_S
         restarted = position.epoch not in (None, found.epoch)
         if restarted and position.next > 0:
-            # The numbers of the former life say nothing here.
+            # The numbers of the previous run are not valid in this one.
             position.epoch, position.next, position.next_read_at = (
                 found.epoch,
                 0,
@@ -160,8 +162,8 @@
             )
             self._apply(engine, (), reset=True)
             return
-        # What was dropped before the first read was seen by whoever followed
-        # the engine before.
+        # Changes that the engine dropped before the first read were read and
+        # advertised by the daemon that followed it until now.
         reset = found.lost and position.epoch is not None
         position.epoch, position.next = found.epoch, found.end
         self._apply(engine, found.changes, reset=reset)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashrecords.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashrecords.py
@@ -1,7 +1,7 @@
-"""Involvements of requests at crashed endpoints, as records of a keyed topic.
+"""Encodes involvements in crashes as records of a keyed topic.
 
-Each involvement has a key of its own, so that hosts which tell of the same one
-write the same record, and none takes another's away.
+Each involvement has its own key, so that hosts which report the same one write
+the same record, and none overwrites another one's.
 """
 
 import msgspec
@@ -22,14 +22,14 @@
 
 
 def write_key(key: crashledger.Key) -> str:
-    """Returns the key of a sighting's record."""
+    """Returns the key of an involvement's record."""
     fingerprint, (id, born_ms) = key
     return f"{fingerprint}{_SEPARATOR}{id}{_SEPARATOR}{born_ms}"
 
 
 def read_key(text: str) -> crashledger.Key | None:
-    """Returns the involvement that a record's key names, None without one."""
-    # Nothing is known of what an endpoint's id may contain.
+    """Returns the involvement that a record's key names, None if malformed."""
+    # An endpoint's id may contain any character, also the separator.
     fingerprint, _, endpoint = text.partition(_SEPARATOR)
     id, _, born_ms = endpoint.rpartition(_SEPARATOR)
     if not fingerprint or not id:
@@ -41,7 +41,7 @@
 
 
 def write_value(involvement: crashledger.Involvement) -> bytes:
-    """Returns the value of a sighting's record."""
+    """Returns the value of an involvement's record."""
     value = _Value(
         caller=involvement.caller,
         zone=involvement.zone,
@@ -53,7 +53,7 @@
 def read_involvement(
     record: topicreader.KeyedRecord,
 ) -> crashledger.Involvement | None:
-    """Returns the involvement in a record, None where it can't be read."""
+    """Returns the involvement in a record, None if it can't be decoded."""
     key = read_key(record.key)
     if key is None or record.value is None:
         return None
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -1,7 +1,7 @@
-"""Shares among all hosts which requests were at endpoints that crashed.
+"""Shares among hosts which requests were at endpoints that crashed.
 
-What a host sees counts for itself at once, and goes to a topic on the
-platform's store, from which all others, those too that start later, have it.
+A host counts what it sees at once and writes it to a topic on the platform's
+store. All other hosts read it there, including those that start later.
 """
 
 from collections.abc import Awaitable
@@ -22,27 +22,27 @@
 from bulrushgrade_daemon import topicreader
 
 WRITE_PAUSE_S = 0.1
-"""Between two writes, in which what comes from one failure is gathered."""
+"""Interval between writes, to batch records of the same failure."""
 
 CLEAR_PAUSE_S = 2.0
-"""In which involvements that don't count any more are gathered: most requests
-that met a crash run to their end soon after it, each at its time."""
+"""Delay to batch deletions of involvements. Most requests that were at a crash
+complete soon after it, each at a different time."""
 
 RETRY_S = 0.5
-"""Between two writes while the store is away."""
+"""Interval between attempts to write while the store is unreachable."""
 
 MAX_WRITE_RECORDS = 256
-"""Records in a write, far below what the store takes."""
+"""Records in one write, far below the limit of the store."""
 
 MAX_WAITING = 1024
-"""Records that wait to be written. Beyond these only what is told of requests
-that were at a crash before is taken."""
+"""Records waiting to be written. Beyond this number, only involvements of
+requests that were at an earlier crash are written."""
 
 EXPIRE_PERIOD_S = 10.0
-"""Between two searches for what is too old or too much."""
+"""Interval between searches for records beyond the limits of age and number."""
 
 Record = tuple[str, bytes | None]
-"""A key and what it is to hold; None drops it."""
+"""A key and its value; None deletes the record."""
 
 
 @attrs.frozen(kw_only=True)
@@ -61,7 +61,7 @@
 
 
 class CrashSharing:
-    """Ties the ledger of crashes to the topic."""
+    """Synchronizes the ledger of crashes with the topic."""
 
     name = "crashsharing"
     requires = ("timer",)
@@ -78,15 +78,17 @@
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
             timers: The timer service.
-            ledger: What is known of crashes.
+            ledger: Requests that were in flight at endpoints that crashed.
             write: Writes records to the topic.
-            leads: Returns whether this host is the one to drop old records.
-            log: Gets a line for each request that is, or is no longer.
-            on_broken: Called with the reason where an invariant is broken.
+            leads: Returns whether this host is the one that deletes old
+                records.
+            log: Gets a line for each request that enters or leaves
+                quarantine.
+            on_broken: Called with the reason if an invariant is violated.
         """
         self._timers = timers
         self._ledger = ledger
@@ -94,11 +96,11 @@
         self._leads = leads
         self._log = log
         self._on_broken = on_broken
-        # The blamed requests with their crashes, as they were logged.
+        # Number of crashes of each quarantined request, as last logged.
         self._logged: dict[str, int] = {}
-        # What this host saw, to be written again where the store has lost it.
+        # Observed by this host; written again if the store loses them.
         self._own: dict[crashledger.Key, crashledger.Involvement] = {}
-        # The oldest first; None drops the record.
+        # Records to write, the oldest first; None deletes the record.
         self._waiting: dict[
             crashledger.Key, crashledger.Involvement | None
         ] = {}
@@ -110,12 +112,12 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Records written, writes that failed, involvements left out."""
+        """Number of records written, failed writes, records left out."""
         return {**self._counts, "unreadable": self._unreadable}
 
     @property
     def quarantined(self) -> int:
-        """Requests that are quarantined."""
+        """Number of quarantined requests."""
         now = self._timers.now
         return sum(
             self._ledger.is_quarantined(fingerprint, now)
@@ -123,11 +125,11 @@
         )
 
     async def start(self) -> None:
-        """Begins to drop what is old."""
+        """Starts to drop old records."""
         self._tick = self._timers.every(EXPIRE_PERIOD_S, self._expire)
 
     async def stop(self) -> None:
-        """Writes nothing any more."""
+        """Cancels pending writes."""
         if self._tick is not None:
             self._tick.cancel()
         if self._delayed_write is not None:
@@ -136,10 +138,10 @@
             self._writing.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is known and what is to be written."""
+        """Returns the state of the ledger and of pending writes."""
         now = self._timers.now
         return {
             "sightings": len(self._ledger),
@@ -152,7 +154,7 @@
         }
 
     def observe_crash(self, crash: crashwatch.Crash) -> None:
-        """Takes a crash that this host saw."""
+        """Takes in a crash that this host observed."""
         now = self._timers.now
         for run in crash.runs:
             involvement = crashledger.Involvement(
@@ -175,7 +177,7 @@
         self._schedule_write()
 
     def observe_completion(self, fingerprint: str) -> None:
-        """Notes that a request has run to its end."""
+        """Clears a request that has completed."""
         for key in self._ledger.clear(fingerprint):
             self._own.pop(key, None)
             self._waiting[key] = None
@@ -185,7 +187,7 @@
     def apply_records(
         self, records: tuple[topicreader.KeyedRecord, ...]
     ) -> None:
-        """Takes records of the topic in their order."""
+        """Applies records of the topic in their order."""
         for record in records:
             self._apply_record(record)
         self._log_changes()
@@ -193,9 +195,10 @@
     def apply_snapshot(
         self, records: tuple[topicreader.KeyedRecord, ...]
     ) -> None:
-        """Takes the newest record of every key.
+        """Applies the newest record of every key.
 
-        What this host saw and the store does not have is written again.
+        Involvements that this host observed and that are missing from the
+        store are written again.
         """
         self.apply_records(records)
         listed = {record.key for record in records if record.value is not None}
@@ -252,7 +255,7 @@
         self._schedule_write()
 
     def _schedule_write(self) -> None:
-        """Has what waits written, drops alone a while later."""
+        """Schedules pending writes, with a delay if all are deletions."""
         if self._writing is not None or not self._waiting:
             return
         if any(self._waiting.values()):
@@ -301,7 +304,7 @@
         )
         if isinstance(written, Failure):
             self._counts["failed"] += 1
-            # What has come since of the same keys is newer.
+            # Records of the same keys that were added meanwhile are newer.
             self._waiting = batch | self._waiting
             return False
         self._counts["written"] += len(batch)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
@@ -1,8 +1,8 @@
-"""Notices endpoints that end while they run callers' requests.
+"""Detects endpoints that crash while they run callers' requests.
 
-An answer that breaks off does not say so by itself: connections are reset,
-and some endpoints tear an answer and go on. An endpoint that takes no
-connection right after it has ended.
+A truncated answer alone does not show a crash: connections are reset, and some
+endpoints truncate an answer and keep running. An endpoint that accepts no
+connection right afterwards has crashed.
 """
 
 from collections.abc import Awaitable
@@ -18,30 +18,32 @@
 from bulrushgrade_daemon import task
 
 CHECK_DELAY_S = 0.01
-"""From the first answer that breaks off to the check of its endpoint. Those of
-the other requests there break off in the same moment and need no other one."""
+"""Delay between the first truncated answer and the check of its endpoint. The
+other answers of a crashed endpoint are truncated at the same moment and don't
+need checks of their own."""
 
 MAX_CHECK_WAIT_S = 0.05
-"""How long a request waits for the check before it is sent on: longer than a
-connection takes to be opened or refused, and a small part of any target."""
+"""Longest time that a request waits for the check before it is retried. Longer
+than a connection takes to be opened or refused, and a small fraction of any
+latency target."""
 
 MAX_PATH_CHARS = 120
-"""Characters of a path in a line of the log."""
+"""Maximum length of a path in a log line."""
 
 MAX_RUNS = 256
-"""Requests that one crash tells of: more than an endpoint has slots."""
+"""Requests reported for one crash; more than an endpoint has slots."""
 
 
 @attrs.frozen(kw_only=True)
 class InterruptedRequest:
-    """A request that was at an endpoint when that ended.
+    """A request whose answer was truncated.
 
     Attributes:
-        fingerprint: Names the request and its repeats.
-        caller_id: Names who sent it.
+        fingerprint: Identifies the request and its repetitions.
+        caller_id: Identifies the caller.
         request_id: The caller's id of this attempt.
-        path: What it asked for.
-        ran_s: Since its answer had begun, None where none had.
+        path: The path of the request.
+        ran_s: Time since its answer began, None if it had not.
     """
 
     fingerprint: str
@@ -53,11 +55,11 @@
 
 @attrs.define(kw_only=True)
 class _PendingCheck:
-    """An endpoint that is still to be checked.
+    """The check of an endpoint that has not finished.
 
     Attributes:
-        runs: The requests whose answers broke off there.
-        waiting: Those that wait until it is.
+        runs: The requests whose answers were truncated there.
+        waiting: Deferreds that fire when the check has finished.
     """
 
     runs: list[InterruptedRequest]
@@ -66,11 +68,11 @@
 
 @attrs.frozen(kw_only=True)
 class Crash:
-    """An endpoint that ended with requests of this daemon.
+    """An endpoint that crashed with requests of this daemon.
 
     Attributes:
-        endpoint: Who ended.
-        runs: The requests that were there.
+        endpoint: The endpoint that crashed.
+        runs: The requests that it was running.
         reason: Why a connection to it failed.
     """
 
@@ -80,7 +82,7 @@
 
 
 class CrashWatch:
-    """Checks the endpoints of answers that broke off."""
+    """Checks the endpoints of truncated answers for crashes."""
 
     def __init__(
         self,
@@ -92,17 +94,18 @@
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes a state without broken answers.
+        """Creates the watch without pending checks.
 
         Args:
             timers: The timer service.
-            check: Returns why an endpoint takes no connection, None where it
-                takes one.
-            is_leaving: Returns whether an endpoint was seen to leave; its end
-                is then no crash.
-            on_crash: Takes each crash, in one part or several.
-            log: Gets a line for each.
-            on_broken: Called with the reason where an invariant is broken.
+            check: Returns why an endpoint accepts no connection, None if it
+                accepts one.
+            is_leaving: Returns whether an endpoint is known to be leaving;
+                its end is then no crash.
+            on_crash: Called with each crash, possibly several times with
+                different requests.
+            log: Gets a line for each crash.
+            on_broken: Called with the reason if an invariant is violated.
         """
         self._timers = timers
         self._check = check
@@ -110,17 +113,17 @@
         self._on_crash = on_crash
         self._log = log
         self._on_broken = on_broken
-        # By incarnation, until its endpoint was checked.
+        # Keyed by the endpoint's incarnation.
         self._pending_checks: dict[tuple[str, int], _PendingCheck] = {}
         self._counts = {"checks": 0, "crashes": 0, "requests": 0}
 
     @property
     def counts(self) -> dict[str, int]:
-        """Checks, crashes that they found, and requests that were there."""
+        """Number of checks, crashes found, and requests interrupted by them."""
         return dict(self._counts)
 
     def observe_broken_answer(self, request: inflight.InFlight) -> None:
-        """Notes that the answer of the endpoint that a request is at broke."""
+        """Takes in a truncated answer and has its endpoint checked."""
         endpoint = request.endpoint
         if self._is_leaving(endpoint):
             return
@@ -145,7 +148,7 @@
             pending_check.runs.append(run)
 
     async def wait_for_check(self, endpoint: directory.Registration) -> None:
-        """Waits until an endpoint that was noted is checked, or for long."""
+        """Waits for a pending check of an endpoint, up to a time limit."""
         pending_check = self._pending_checks.get(endpoint.incarnation)
         if pending_check is None:
             return
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointcalls.py
@@ -1,4 +1,4 @@
-"""Requests to endpoints on behalf of callers."""
+"""Sends requests to endpoints on behalf of callers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,14 +16,15 @@
 
 CONNECT_TIMEOUT_S = 0.3
 """Opening a connection takes a round trip of a few milliseconds; a lost first
-packet is sent again after 0.2 s or more. Longer means a dead or cut host."""
+packet is sent again after 0.2 s or more. If it takes longer, the host is down
+or unreachable."""
 
 FREE_TIMEOUT_S = 0.5
-"""For freeing a prompt that nobody takes; it goes by itself seconds later."""
+"""Timeout for freeing an unused prefill, which expires seconds later anyway."""
 
 
 class EndpointCalls:
-    """Sends requests to endpoints and reads the heads of their answers."""
+    """Sends requests to endpoints and reads their response headers."""
 
     def __init__(
         self,
@@ -33,13 +34,13 @@
         dialect: dialect_module.Dialect,
         on_broken: Callable[[str], None],
     ):
-        """Makes the calls.
+        """Creates the sender.
 
         Args:
             reactor: The reactor.
-            now: The present time in seconds.
+            now: Returns the current time in seconds.
             dialect: Translates headers.
-            on_broken: Called with the reason where an invariant is broken.
+            on_broken: Called with the reason if an invariant is violated.
         """
         self._reactor = reactor
         self._now = now
@@ -52,7 +53,7 @@
         endpoint: directory_module.Registration,
         prefilled: dialect_module.PrefilledBy | None,
     ) -> outbound.Answer | inflight.AttemptEnd:
-        """Has an endpoint run a request; returns the head of its answer."""
+        """Has an endpoint run a request; returns the answer, body unread."""
         sending = dialect_module.Sending(
             endpoint=endpoint,
             left_s=0.0,
@@ -76,7 +77,7 @@
         request: inflight.InFlight,
         engine: directory_module.Registration,
     ) -> dialect_module.PrefilledBy | inflight.AttemptEnd:
-        """Has an engine read a prompt for the one that will generate."""
+        """Has an engine prefill a prompt for the decoder."""
         sending = dialect_module.Sending(
             endpoint=engine,
             left_s=0.0,
@@ -114,7 +115,7 @@
         engine: directory_module.Registration,
         prefilled: dialect_module.PrefilledBy,
     ) -> None:
-        """Frees a prompt that may not have been taken, without waiting."""
+        """Frees a prefill that may not have been used, without waiting."""
         method, uri = self._dialect.free_prefilled(prefilled.handle)
         freeing = outbound.fetch(
             self._reactor,
@@ -134,7 +135,7 @@
     async def find_connect_error(
         self, endpoint: directory_module.Registration
     ) -> str | None:
-        """Returns why an endpoint takes no connection, None where it does."""
+        """Returns why an endpoint accepts no connection, None if it does."""
         return await outbound.find_connect_error(
             self._reactor,
             endpoint.host,
@@ -146,8 +147,8 @@
         self, request: inflight.InFlight, sending: dialect_module.Sending
     ) -> outbound.Answer | inflight.AttemptEnd:
         def make_request() -> outbound.OutboundRequest:
-            # The time that is left is told as of the write: opening the
-            # connection has taken some of it.
+            # The remaining time is computed at the time of the write, since
+            # opening the connection has taken some of it.
             workspace = request.workspace
             timed = attrs.evolve(
                 sending,
@@ -211,7 +212,7 @@
 
 
 def _as_prefill_end(ended: inflight.AttemptEnd) -> inflight.AttemptEnd:
-    """Returns how a reading ended: it is not a run, so that nothing has run."""
+    """Returns the end of a prefill: a lost one means that nothing has run."""
     if ended.outcome is attempts.Outcome.LOST:
         return attrs.evolve(ended, outcome=attempts.Outcome.UNREAD)
     return ended
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
@@ -1,4 +1,4 @@
-"""Chooses endpoints for requests and learns from what came of them."""
+"""Chooses an endpoint for each attempt and learns from its outcome."""
 
 from collections.abc import Callable
 import random
@@ -22,7 +22,7 @@
 
 
 class EndpointChooser:
-    """Puts the view of endpoints, the balancer and the planners together."""
+    """Combines the endpoint directory, the balancer and the planners."""
 
     def __init__(
         self,
@@ -37,16 +37,17 @@
         log: decisionlog.DecisionLog,
         rng: random.Random,
     ):
-        """Makes a chooser that has seen nothing.
+        """Creates a chooser without observations.
 
         Args:
             timers: The timer service.
             zone: The availability zone of this host.
             table: Returns the routes in force, or None before the first.
-            endpoints: The endpoints that are known.
-            work: What this daemon has at engines and knows of them.
-            index: What waits at engines now.
-            settle_s: Until what an endpoint registers is known everywhere.
+            endpoints: The known endpoints.
+            work: This daemon's work at engines, and what it knows of them.
+            index: Finds the current waits at engines.
+            settle_s: Time until every host knows a change that an endpoint
+                registers.
             log: Gets a line for each ejection.
             rng: Breaks ties.
         """
@@ -62,7 +63,7 @@
         self._changes = stagechanges.StageChanges()
 
     async def query_peers(self, request: inflight.InFlight) -> None:
-        """Learns where a long prompt's parts are and what waits there."""
+        """Queries peers about a long prompt: who holds its parts, and waits."""
         request.waits_s = {}
         prompt, traits = request.info.prompt, self._work.traits(request.service)
         if traits is None or prompt is None:
@@ -82,7 +83,7 @@
     def choose(
         self, request: inflight.InFlight
     ) -> directory_module.Registration | None:
-        """Returns the endpoint for the next attempt and notes the plan."""
+        """Returns the endpoint for the next attempt and stores the plan."""
         now = self._timers.now
         usable = self._usable(request.service, now)
         traits = self._work.traits(request.service)
@@ -125,10 +126,10 @@
     def choose_decoder(
         self, request: inflight.InFlight
     ) -> directory_module.Registration | None:
-        """Returns who generates from a prompt that has just been read.
+        """Returns the decoder for a prompt that has just been prefilled.
 
-        Reading may take seconds, in which the engine that was planned can
-        have begun to leave.
+        A prefill may take seconds, in which the planned decoder can have
+        begun to leave.
         """
         traits = self._work.traits(request.service)
         if traits is None or request.info.prompt is None:
@@ -140,7 +141,7 @@
     def _plan_input(
         self, request: inflight.InFlight, traits: routing.EngineTraits
     ) -> placementplan.PlanRequest:
-        """Returns all that the planner has to know of a request."""
+        """Returns the planner's input for a request."""
         now = self._timers.now
         route = request.route
         return placementplan.PlanRequest(
@@ -162,8 +163,9 @@
     ) -> list[directory_module.Registration]:
         """Returns the engines that a request may be sent to.
 
-        Each role by itself: with all engines that generate ejected, those that
-        read are no use, and a wrong ejection must not refuse everything.
+        The balancer is applied to each role separately. If all decoders are
+        ejected, prefillers can't replace them, and wrong ejections must not
+        cause every request to be refused.
         """
         usable = self._usable(request.service, now)
         return [
@@ -178,17 +180,17 @@
         ]
 
     def begin(self, endpoint: directory_module.Registration) -> None:
-        """Notes that a request goes to an endpoint."""
+        """Counts a request that is sent to an endpoint."""
         self._balancer.begin(endpoint.incarnation)
 
     def end(self, endpoint: directory_module.Registration) -> None:
-        """Notes that a request is no longer there."""
+        """Stops counting a request at an endpoint."""
         self._balancer.end(endpoint.incarnation)
 
     def observe_success(
         self, endpoint: directory_module.Registration, latency_s: float
     ) -> None:
-        """Notes a whole answer and how long it took to begin."""
+        """Takes in a complete answer and the time until it began."""
         self._balancer.succeeded(endpoint.incarnation, latency_s)
 
     def observe_failed_attempt(
@@ -197,7 +199,7 @@
         endpoint: directory_module.Registration,
         ended: inflight.AttemptEnd,
     ) -> None:
-        """Learns from an attempt that gave no answer."""
+        """Takes in a failed attempt; may eject its endpoint."""
         request.avoid |= {endpoint.incarnation}
         if self._is_full(endpoint, ended.outcome):
             return
@@ -216,12 +218,13 @@
         endpoint: directory_module.Registration,
         outcome: attempts.Outcome,
     ) -> bool:
-        """Returns whether a failure only says that there is no room.
+        """Returns whether a failure only means that an endpoint is full.
 
-        Load: engines are lost in a burst. Harm: those that are left take no
-        more connections than they have room for; each daemon took that for a
-        crash, ejected all of them at the same time and refused everything
-        while they emptied. An engine whose answers go on has not crashed.
+        If engines are lost during a burst, the remaining ones accept no more
+        connections than they have slots. When daemons treated that as a
+        crash, all of them ejected all remaining engines at the same time and
+        refused every request until the ejections ended. An engine that still
+        streams answers has not crashed.
         """
         if outcome is attempts.Outcome.TURNED_AWAY:
             return True
@@ -234,10 +237,10 @@
         *,
         is_certain: bool = False,
     ) -> bool:
-        """Notes that an endpoint failed; returns whether that ejects it.
+        """Takes in an endpoint's failure; returns whether that ejects it.
 
         Args:
-            endpoint: Who failed.
+            endpoint: The endpoint that failed.
             is_certain: Whether this failure alone ejects it.
         """
         return self._balancer.failed(
@@ -245,7 +248,7 @@
         )
 
     def engine_views(self) -> list[stageplan.ServiceView]:
-        """Returns what is known of each service's engines."""
+        """Returns the view of each service's engines for role planning."""
         now, found = self._timers.now, []
         for service, fleet in self._work.fleets.items():
             traits = self._work.traits(service)
@@ -268,9 +271,9 @@
     ) -> list[directory_module.Registration]:
         """Returns the engines that are not known to be lost.
 
-        Those that this daemon has ejected are there where others have streams
-        running at them. A daemon that failed at all engines which generate,
-        for a moment and by itself, would have a reader changed in their place.
+        Engines that this daemon has ejected count as live if peers have
+        streams at them. Otherwise a daemon that alone and briefly fails to
+        reach all decoders would order a prefiller to replace them.
         """
         usable = self._usable(service, now)
         not_ejected = self._balancer.eligible(
@@ -285,12 +288,12 @@
     def record_stage_change(
         self, engine: str, stage: directory_module.Stage, change_s: float
     ) -> None:
-        """Notes that an engine was ordered to change its role.
+        """Records that an engine was ordered to change its role.
 
         Args:
             engine: The engine's id.
             stage: Its new role.
-            change_s: How long it takes by itself.
+            change_s: Expected duration of the change.
         """
         known = self._endpoints.find(engine)
         self._log.note(
@@ -305,7 +308,7 @@
             self._changes.record(known, stage, change_s=change_s, now=now)
 
     def forget_gone(self) -> None:
-        """Drops what is known of endpoints that are gone."""
+        """Drops the state of endpoints that are no longer registered."""
         live = {r.incarnation for r in self._endpoints.registrations}
         self._balancer.forget(live)
         self._changes.forget(self._timers.now)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -1,4 +1,4 @@
-"""What this daemon has at engines, and what it learns from it."""
+"""Tracks this daemon's work at engines and what it observes there."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -21,23 +21,22 @@
 from bulrushgrade_daemon import placementindex
 
 LIVE_PAUSE_FACTOR = 4.0
-"""Expected pauses after its last event in which an engine counts as one that
-generates. A stream's pauses seldom last twice the expected one; a daemon has
-several streams at an engine that is full, and one that has crashed is found
-out by then."""
+"""Number of expected pauses after its last event during which an engine counts
+as streaming. A stream's pauses seldom last twice the expected time, and a
+daemon has several streams at a full engine; a crash is detected by then."""
 
 
 def _ignore(*_: Any) -> None:
-    """Takes what nobody follows."""
+    """Does nothing."""
 
 
 @attrs.frozen(kw_only=True)
 class StreamObserver:
-    """What takes note of an answer that is generated.
+    """Callbacks for the progress of a streamed answer.
 
     Attributes:
-        events: Takes how many events came together.
-        ended: Called when it has ended, any number of times.
+        events: Called with the number of events that arrived together.
+        ended: Called when the answer has ended; may be called repeatedly.
     """
 
     events: Callable[[int], None] = _ignore
@@ -45,7 +44,7 @@
 
 
 class EngineWork:
-    """Readings and streams at the engines of all services."""
+    """Pending prefills and streams at the engines of all services."""
 
     def __init__(
         self,
@@ -56,14 +55,14 @@
         peers: peerloads.PeerLoads,
         index: placementindex.PlacementIndex,
     ):
-        """Makes a state without work.
+        """Creates the state without work.
 
         Args:
             timers: The timer service.
             table: Returns the routes in force, or None before the first.
-            endpoints: The endpoints that are known.
-            peers: What other daemons have at engines.
-            index: Where long readings are reported.
+            endpoints: The known endpoints.
+            peers: Work of other daemons at engines.
+            index: Gets reports of long prefills.
         """
         self._timers = timers
         self._table = table
@@ -74,11 +73,11 @@
 
     @property
     def fleets(self) -> Mapping[str, enginefleet.EngineFleet]:
-        """What is known of engines, by service."""
+        """The state of engines, by service."""
         return self._fleets
 
     def fleet(self, service: str) -> enginefleet.EngineFleet:
-        """Returns what is known of a service's engines."""
+        """Returns the state of a service's engines."""
         fleet = self._fleets.get(service)
         if fleet is None:
             fleet = enginefleet.EngineFleet(peers=self._peers)
@@ -92,20 +91,20 @@
         return found.engine if found else None
 
     def shares(self) -> dict[str, peerloads.EngineShare]:
-        """Returns what this daemon has at engines, by id."""
+        """Returns this daemon's work at engines, by the engine's id."""
         shares: dict[str, peerloads.EngineShare] = {}
         for fleet in self._fleets.values():
             shares.update(fleet.shares(self._timers.now))
         return shares
 
     def forget(self, live: Iterable[tuple[str, int]]) -> None:
-        """Drops what is known of engines that are gone and idle."""
+        """Drops the state of engines that are gone and idle."""
         kept = set(live)
         for fleet in self._fleets.values():
             fleet.forget(kept)
 
     def is_streaming(self, engine: directory_module.Registration) -> bool:
-        """Returns whether events of this daemon's streams come from there."""
+        """Returns whether this daemon recently received events of an engine."""
         traits = self.traits(engine.service)
         if traits is None:
             return False
@@ -119,7 +118,7 @@
     def describe(
         self, engine: directory_module.Registration
     ) -> dict[str, float | int]:
-        """Returns what is believed of an engine, for a line of the log."""
+        """Returns the estimated state of an engine as fields of a log line."""
         traits = self.traits(engine.service)
         if traits is None:
             return {}
@@ -138,7 +137,7 @@
         holder: prefixindex.PrefixHolder,
         service: str,
     ) -> None:
-        """Takes what the owner of a part knows of a holder."""
+        """Applies an owner's report of an engine that holds a shared part."""
         engine, traits = (
             self._endpoints.find(holder.engine),
             self.traits(service),
@@ -154,7 +153,7 @@
     def is_long_part(
         self, engine: directory_module.Registration, tokens: int
     ) -> bool:
-        """Returns whether a part is worth keeping in one place."""
+        """Returns whether a part is long enough to place prompts by it."""
         traits = self.traits(engine.service)
         return traits is not None and tokens >= traits.long_tokens
 
@@ -165,7 +164,7 @@
         *,
         reset: bool,
     ) -> None:
-        """Takes what an engine says of its cache."""
+        """Applies changes that an engine reports of its cache."""
         traits = self.traits(engine.service)
         if traits is not None:
             load = self.fleet(engine.service).load(engine, traits)
@@ -176,7 +175,7 @@
         request: inflight.InFlight,
         engine: directory_module.Registration,
     ) -> StreamObserver:
-        """Notes an answer that an engine is to generate."""
+        """Tracks an answer that an engine is to generate."""
         traits = self.traits(request.service)
         if request.plan is None or traits is None:
             return StreamObserver()
@@ -184,7 +183,7 @@
         streams = fleet.load(engine, traits).streams
         prompt_tokens = request.info.prompt.prompt_tokens
         stream = streamload.Stream(prompt_tokens=prompt_tokens)
-        # It takes no slot from others before it runs.
+        # At the lowest urgency it takes no slot from others until it runs.
         has_lowest_urgency = request.urgency == routing.LOWEST_URGENCY
         if not has_lowest_urgency:
             streams.begin(stream)
@@ -215,15 +214,16 @@
         *,
         prefills: bool,
     ) -> Callable[[bool], None]:
-        """Notes work at an engine; returns what notes how it ended.
+        """Tracks a prefill or handover; returns a function that ends it.
 
         The returned function takes whether an answer began. Only its first
         call counts.
 
         Args:
             request: The request.
-            engine: Who works on it now.
-            prefills: Whether it reads the prompt or takes over what was read.
+            engine: The engine that works on it now.
+            prefills: Whether the engine prefills the prompt or takes over the
+                KV cache of another engine.
         """
         plan, traits = request.plan, self.traits(request.service)
         if plan is None or traits is None:
@@ -256,10 +256,10 @@
         prompt: prompt_module.Prompt,
         traits: routing.EngineTraits,
     ) -> Callable[[bool], None]:
-        """Reports a long reading to peers; returns what reports its end."""
+        """Reports a long prefill to peers; returns a function that ends it."""
         if prefill.tokens < traits.long_tokens:
             return lambda began: None
-        # Nothing new is read of parts that it has already.
+        # Shared parts that the engine has in its cache aren't computed again.
         cache = self.fleet(engine.service).load(engine, traits).cache
         is_new = cache.cached_tokens(prompt) < prompt.shared_tokens
         parts = prefill.parts if is_new else ()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -1,7 +1,7 @@
-"""Serves callers' requests, each until it has its answer.
+"""Serves callers' requests until each is answered.
 
-The forwarder runs a request's attempts; what follows from each is decided by
-`bulrushgrade.attempts`, and who gets the request by `endpointchooser`.
+The forwarder runs a request's attempts. `bulrushgrade.attempts` decides what
+follows from each one, and `endpointchooser` chooses their endpoints.
 """
 
 from collections.abc import Callable
@@ -34,34 +34,34 @@
 from bulrushgrade_daemon import task
 
 DEADLINE_MARGIN_S = 0.02
-"""Kept from a deadline for the way back to the caller."""
+"""Reserved before a deadline for sending the answer to the caller."""
 
 MIN_ATTEMPT_S = 0.05
-"""Time that must be left for another attempt to be of use."""
+"""Minimum time left before the deadline for another attempt."""
 
 MIN_SILENCE_S = 1.0
-"""Without a word of an endpoint, after which a request that is given up has
-the endpoint checked: longer than any usual pause."""
+"""Silence after which the endpoint of a cancelled request is checked for a
+crash. Longer than any usual pause."""
 
 
 @attrs.frozen(kw_only=True)
 class Dependencies:
-    """What the forwarder works with.
+    """Services and callbacks that the forwarder uses.
 
     Attributes:
         timers: The timer service.
-        admission: Decides which requests are taken.
+        admission: Decides which requests are accepted.
         dialect: Translates headers.
         chooser: Chooses endpoints.
-        work: Takes note of work at engines.
-        calls: Sends requests to them.
-        crashes: Notices endpoints that end.
-        ledger: What is known of crashes of endpoints.
-        observe_completion: Takes the fingerprint of a request that was at
-            crashes and has run to its end.
+        work: Tracks work at engines.
+        calls: Sends requests to endpoints.
+        crashes: Detects crashes of endpoints.
+        ledger: Requests that were in flight at endpoints that crashed.
+        observe_completion: Called with the fingerprint of a request that was
+            involved in crashes and has completed.
         log: Gets a line for each decision that is out of the ordinary.
         rng: Source of random choices.
-        on_broken: Called with the reason where an invariant is broken.
+        on_broken: Called with the reason if an invariant is violated.
     """
 
     timers: Any
@@ -79,7 +79,7 @@
 
 
 class Forwarder:
-    """Serves requests until each has its answer."""
+    """Serves requests until each is answered."""
 
     name = "forwarder"
     requires = ("timer",)
@@ -94,15 +94,15 @@
             None
         ),
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            dependencies: What it works with.
-            make_retry_share: Returns the retry budget of a service met anew.
-            observe_latency: Takes the kind of a route and the seconds that an
-                answer took.
-            record_run_start: Takes whose request an endpoint began to run, and
-                when.
+            dependencies: Services and callbacks that it uses.
+            make_retry_share: Returns the retry budget of a new service.
+            record_run_start: Called with a request's workspace and the time
+                when an endpoint began to run it.
+            observe_latency: Called with the kind of a route and the seconds
+                that an answer took.
         """
         self._timers = dependencies.timers
         self._dialect = dependencies.dialect
@@ -125,29 +125,29 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests under way."""
+        """Number of requests in flight."""
         return len(self._open)
 
     @property
     def counts(self) -> dict[str, int]:
-        """Requests by how they ended, attempts by what came of them."""
+        """Number of requests by how they ended, of attempts by outcome."""
         return self._admission.counts | self._counts
 
     async def start(self) -> None:
-        """Opens nothing."""
+        """Does nothing; requests come through `handle`."""
 
     async def stop(self) -> None:
-        """Closes nothing; whoever stops it waits for open requests."""
+        """Does nothing; its owner waits for open requests."""
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is under way."""
+        """Returns the number of open requests and the counts."""
         return {"open": self.open_requests, "counts": self.counts}
 
     def handle(self, caller: front.CallerRequest) -> None:
-        """Takes a request that was read whole."""
+        """Serves a request that has been read completely."""
         try:
             request = self._admission.admit(caller)
         except errors.BrokenInvariantError:
@@ -211,7 +211,7 @@
                 return
 
     def _predicted_lateness_s(self, request: inflight.InFlight) -> float:
-        """Returns how much too late the first event is expected to be."""
+        """Returns by how much the first event is expected to be late."""
         if request.plan is None:
             return 0.0
         now = self._timers.now
@@ -225,14 +225,14 @@
     async def _attempt(
         self, request: inflight.InFlight
     ) -> inflight.AttemptEnd | None:
-        """Returns None where the caller has got a whole answer."""
+        """Runs one attempt; returns None if the caller got a whole answer."""
         request.sent_at = self._timers.now
         request.answer_began_at = None
         try:
             return await self._prefill_and_run(request)
         except defer.CancelledError:
-            # An endpoint whose host vanished closes no connection; its
-            # callers leave, or their time is up.
+            # An endpoint whose host vanished closes no connection: its
+            # callers disconnect or reach their deadlines.
             if request.silence_s(self._timers.now) >= MIN_SILENCE_S:
                 self._crashes.observe_broken_answer(request)
             raise
@@ -242,11 +242,12 @@
     async def _prefill_and_run(
         self, request: inflight.InFlight
     ) -> inflight.AttemptEnd | None:
-        """Has engines read a prompt and run it, or an endpoint run it all."""
+        """Runs a request, with its prompt prefilled elsewhere if so planned."""
         if request.plan is None or request.plan.prefill is None:
             return await self._run(request, None)
         engine = request.plan.prefill
-        # Whatever fails until it has read is its failure, not the decoder's.
+        # Until the prefill has ended, a failure is the prefiller's and not
+        # the decoder's.
         request.endpoint = engine
         end_work = self._work.begin_work(request, engine, prefills=True)
         prefilled = None
@@ -264,7 +265,7 @@
             if decoder is None:
                 return inflight.AttemptEnd(
                     outcome=attempts.Outcome.UNREACHED,
-                    reason="no engine left that generates",
+                    reason="no decode engine available",
                 )
             return await self._run(request, prefilled)
         finally:
@@ -276,7 +277,7 @@
         request: inflight.InFlight,
         prefilled: dialect_module.PrefilledBy | None,
     ) -> inflight.AttemptEnd | None:
-        """Has an endpoint run the request and passes its answer on."""
+        """Has an endpoint run the request and forwards its answer."""
         endpoint = request.endpoint
         began = self._timers.now
         self._chooser.begin(endpoint)
@@ -343,7 +344,7 @@
     async def _handle_failed_attempt(
         self, request: inflight.InFlight, ended: inflight.AttemptEnd
     ) -> bool:
-        """Notes an attempt that failed; returns whether another follows."""
+        """Records a failed attempt; returns whether to start another one."""
         endpoint = request.endpoint
         request.history.note(ended.outcome)
         self._count(f"attempt_{ended.outcome.value}")
@@ -374,7 +375,7 @@
         ended: inflight.AttemptEnd | None,
         reason: str,
     ) -> None:
-        """Ends a request that no endpoint answered."""
+        """Ends a request that no endpoint answered completely."""
         step = attempts.final_step(request.history)
         self._count(f"ended_{step.value}")
         self._log.note_ended(request, step, reason)
@@ -390,7 +391,7 @@
             caller.answer(http.BAD_GATEWAY, [], b"")
 
     def _end_cancelled(self, request: inflight.InFlight) -> None:
-        """Ends a request whose caller has left or whose time is up."""
+        """Ends a request whose caller disconnected or whose deadline passed."""
         if request.caller.gone:
             self._count("ended_caller_left")
             return
@@ -404,10 +405,11 @@
     def _end_with_internal_error(
         self, caller: front.CallerRequest, request: inflight.InFlight | None
     ) -> None:
-        """Ends a request whose own task failed in a way nobody foresaw.
+        """Ends a request whose task raised an unexpected exception.
 
-        The process goes on. Its end would cut all other requests, and where
-        the request itself is the cause, its next try would end another host.
+        The process keeps running. Stopping it would cut all other requests,
+        and if the request itself causes the error, the caller's retry would
+        stop another host.
         """
         self._count("ended_broken")
         self._log.note_broken(request, traceback.format_exc())
@@ -427,7 +429,7 @@
         )
 
     def _quarantined_s(self, request: inflight.InFlight) -> float:
-        """Returns how long a request remains quarantined, 0 if it is not."""
+        """Returns how long a request remains quarantined, 0 if it isn't."""
         if not len(self._ledger):
             return 0.0
         return self._ledger.left_s(request.fingerprint, self._timers.now)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -19,12 +19,12 @@
 
 @attrs.define(kw_only=True)
 class StreamPace:
-    """When the events of a stream came.
+    """Arrival times of a stream's events.
 
     Attributes:
-        first_at: The first; None before it.
-        last_at: The last.
-        longest_pause_s: The longest time between two.
+        first_at: Time of the first event; None before it.
+        last_at: Time of the last event.
+        longest_pause_s: The longest time between two events.
     """
 
     first_at: float | None = None
@@ -32,7 +32,7 @@
     longest_pause_s: float = 0.0
 
     def observe_events(self, now: float) -> None:
-        """Notes events that came now."""
+        """Takes in the arrival of events."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -43,33 +43,34 @@
 
 @attrs.define(kw_only=True, eq=False)
 class InFlight:
-    """One request under way.
+    """One request in flight.
 
     Attributes:
-        caller: The request as it came, and the way to answer it.
+        caller: The request as received, with the methods to answer it.
         info: What its headers say.
-        route: Where it goes.
+        route: The route that it matched.
         service: The service that was picked for it.
-        deadline: When it has to be answered.
-        history: Its attempts.
-        avoid: Endpoints that it must not go to again.
-        endpoint_answer: The answer that is being read, or None.
-        splitter: Splits its events, for a stream.
-        endpoint: Who had it last, or None.
+        deadline: Time by which it has to be answered.
+        history: The history of its attempts.
+        avoid: Incarnations of endpoints that must not get it again.
+        endpoint_answer: The endpoint's answer that is being read, or None.
+        splitter: Splits the answer into events, for a stream.
+        endpoint: The endpoint of the last attempt, or None.
         expired: Whether its deadline has passed.
-        plan: Which engines have it, or None for a plain service.
+        plan: The engines planned for it, or None for a plain service.
         prefilled_at: When another engine had prefilled its prompt, or None.
-        pace: When the events of its stream came.
-        waits_s: How long it would wait at engines, from the owners of their
-            queues.
-        urgency: How soon engines take it; 0 goes first.
-        workspace: Whose it is, or None.
-        hides_key: Whether its key is not for endpoints.
-        is_counted: Whether it was counted as one that began to run.
-        sent_at: When the attempt under way began, None between two.
-        answer_began_at: When the answer of the last attempt began, None
-            where none did.
-        avoid_zones: Availability zones where it had better not go.
+        pace: Arrival times of its stream's events.
+        waits_s: Expected waits at engines, by the engine's id, from the
+            owners of their queues.
+        urgency: Priority in the queues of engines; 0 is served first.
+        workspace: The workspace that sent it, or None.
+        hides_key: Whether its API key is withheld from endpoints.
+        is_counted: Whether it was counted as a request that began to run.
+        sent_at: When the current attempt began, None between attempts.
+        answer_began_at: When the answer of the last attempt began, None if
+            it didn't.
+        avoid_zones: Availability zones that are used only if no other has an
+            endpoint.
     """
 
     caller: front.CallerRequest
@@ -106,11 +107,11 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nobody waits for an answer any more."""
+        """Whether the deadline has passed or the caller has disconnected."""
         return self.expired or self.caller.gone
 
     def describe_plan(self) -> dict[str, Any]:
-        """Returns what its plan was made from, for a line of the log."""
+        """Returns the inputs of its plan as fields of a log line."""
         if self.plan is None:
             return {}
         reader = self.plan.prefill or self.plan.decode
@@ -126,7 +127,7 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether its stream began or went on later than its route allows."""
+        """Whether its first event or a later one missed the route's targets."""
         if self.pace.first_at is None:
             return False
         first_s = self.pace.first_at - self.caller.arrived_at
@@ -136,17 +137,17 @@
 
     @property
     def read_after_s(self) -> float | None:
-        """From its arrival until another engine had read its prompt."""
+        """Time from its arrival to the end of its separate prefill."""
         if self.prefilled_at is None:
             return None
         return self.prefilled_at - self.caller.arrived_at
 
     @property
     def fingerprint(self) -> str:
-        """What names it and its repeats; made where it is asked for.
+        """Identifies the request and its repetitions; computed on first use.
 
-        It is made from what endpoints are given. They don't see an address,
-        and a caller may come from several.
+        It is computed from what endpoints receive. They don't see the
+        caller's address, and a caller may use several.
         """
         if self._fingerprint is None:
             caller = self.caller
@@ -161,7 +162,7 @@
 
     @property
     def caller_id(self) -> str:
-        """What names its caller to other hosts: a workspace or an address."""
+        """Identifies its caller to other hosts: by workspace or address."""
         if self.workspace is not None:
             return fingerprint_module.make_caller_id(self.workspace.name)
         return fingerprint_module.make_caller_id(self.caller.address)
@@ -171,19 +172,19 @@
         return self.deadline - now
 
     def silence_s(self, now: float) -> float:
-        """Returns since when nothing came of the attempt under way."""
+        """Returns the time since the current attempt last received an event."""
         if self.sent_at is None:
             return 0.0
         return now - max(self.sent_at, self.pace.last_at)
 
     def ran_s(self, now: float) -> float | None:
-        """Returns the time since its answer began, None where none did."""
+        """Returns the time since its answer began, None if it hasn't."""
         began_at = self.answer_began_at
         return None if began_at is None else now - began_at
 
 
 def allowed_wait_s(info: dialect.RequestInfo, route: routing.Route) -> float:
-    """Returns how long a request may be kept waiting."""
+    """Returns the longest time a request may take."""
     if info.deadline_s is None:
         return route.timeout_s
     return min(route.timeout_s, info.deadline_s)
@@ -191,11 +192,11 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointFailure:
-    """A failure that an endpoint gave as its answer.
+    """An error answer of an endpoint.
 
     Attributes:
         status: The status code.
-        fields: Its headers, as the caller gets them.
+        fields: Its headers, as sent to the caller.
         body: The whole body.
     """
 
@@ -206,12 +207,12 @@
 
 @attrs.frozen(kw_only=True)
 class AttemptEnd:
-    """How an attempt ended that gave the caller no whole answer.
+    """The end of an attempt without a complete answer for the caller.
 
     Attributes:
-        outcome: What is known of it.
-        reason: For logs.
-        failure: The endpoint's own failure, to be passed on; or None.
+        outcome: The outcome for retry decisions.
+        reason: Text for logs.
+        failure: The endpoint's error answer, to be passed on, or None.
         connection_lost: Whether the connection ended before the answer did.
     """
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/jobbuilder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/jobbuilder.py
@@ -1,4 +1,4 @@
-"""Makes jobs of callers' HTTP requests, or says what is wrong with them."""
+"""Builds jobs from callers' HTTP requests, or refuses them."""
 
 from collections.abc import Callable
 import itertools
@@ -27,7 +27,7 @@
 
 
 class JobBuilder:
-    """Reads requests by the documents in force and numbers them."""
+    """Builds jobs by the accepted documents and assigns request ids."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         service_index: Callable[[], serviceindex.ServiceIndex],
         prefix: str,
     ):
-        """Makes the intake of one run of a daemon.
+        """Creates the builder for one run of a daemon.
 
         Args:
-            timers: Tells when a request came.
+            timers: Gives the arrival times of requests.
             service_index: Returns the accepted documents.
-            prefix: Begins each request's id; unique for this run.
+            prefix: Prefix of all request ids; unique for this run.
         """
         self._timers = timers
         self._service_index = service_index
@@ -51,7 +51,7 @@
     def make_model_job(
         self, http_request: Any
     ) -> tuple[relay.ModelJob, reply.ModelReply] | refusal.Refusal:
-        """Returns the job of a model request with what answers it."""
+        """Returns the job of a model request and the reply that answers it."""
         content_type = http_request.getHeader("Content-Type") or ""
         if content_type.split(";")[0].strip().lower() != JSON_TYPE:
             return refusal.bad_request(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/outbound.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/outbound.py
@@ -1,10 +1,9 @@
-"""One HTTP request on a connection of its own.
+"""Sends each HTTP request on a connection of its own.
 
-A connection that is kept for later requests can be forgotten by what lies
-between, closed by the other end as a request is written, or hold an answer
-that belongs to an earlier request; for a request that may not be repeated,
-each of these is a loss. A connection of its own has none of them, and costs
-the round trip of its opening.
+A kept-alive connection can be dropped by a middlebox, closed by the peer while
+a request is being written, or deliver the answer to an earlier request. Each
+of these loses a request that must not be repeated. A separate connection
+avoids them at the cost of one round trip.
 """
 
 from collections.abc import Callable
@@ -26,12 +25,12 @@
 from zope.interface import implementer
 
 USER_TIMEOUT_MS = 1500
-"""How long written bytes may stay unacknowledged before the kernel gives the
-connection up. Endpoints are a few milliseconds away; the longest pause of a
-live link is a retransmission or two, of 200 and 400 ms."""
+"""Time that written bytes may stay unacknowledged before the kernel closes the
+connection. Endpoints are a few milliseconds away; the longest pause of a
+working link is one or two retransmissions, of 200 and 400 ms."""
 
 MAX_FETCHED_BODY_BYTES = 65_536
-"""Of an answer that is read as a whole though it is not passed on."""
+"""Maximum size of an answer that is read but not forwarded."""
 
 
 @attrs.frozen(kw_only=True)
@@ -40,7 +39,7 @@
 
     Attributes:
         written: Whether any byte of it may have been written.
-        reason: For logs.
+        reason: Text for logs.
     """
 
     written: bool
@@ -49,12 +48,12 @@
 
 @attrs.frozen(kw_only=True)
 class BodyEnd:
-    """How a body ended.
+    """The end of a response body.
 
     Attributes:
-        whole: Whether it is complete: its framing says so, or it had none
-            and the connection was closed in the ordinary way.
-        reason: For logs, where it is not.
+        whole: Whether it is complete: either by its framing, or, without
+            framing, because the connection was closed cleanly.
+        reason: Text for logs if it is incomplete.
     """
 
     whole: bool
@@ -62,7 +61,7 @@
 
 
 class _Client(_newclient.HTTP11ClientProtocol):
-    """Keeps why the connection ended, which an unframed body needs."""
+    """Stores why the connection was lost, for bodies without framing."""
 
     lost_reason: Any = None
 
@@ -72,7 +71,7 @@
         handle.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
-        # Shows a peer that vanished while the answer is awaited.
+        # Detects a peer that vanishes while its answer is awaited.
         handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -113,7 +112,7 @@
 
 @implementer(iweb.IBodyProducer)
 class BytesBody:
-    """A request's body that is in memory already: one write."""
+    """A request body that is in memory and sent in one write."""
 
     def __init__(self, *, body: bytes):
         self._body = body
@@ -168,7 +167,7 @@
 
 
 class Answer:
-    """The head of an answer, whose body is still to be read."""
+    """A response whose headers have arrived and whose body is unread."""
 
     def __init__(self, *, client: _Client, response: Any):
         self._client = client
@@ -181,19 +180,19 @@
 
     @property
     def headers(self) -> http_headers.Headers:
-        """The headers but for those that concern the connection."""
+        """The headers, without those of the connection."""
         return self._response.headers
 
     @property
     def producer(self) -> Any:
-        """Pauses and resumes the reading of the body."""
+        """The producer that pauses and resumes reading of the body."""
         return self._client.transport
 
     def read(self, on_data: Callable[[bytes], None]) -> defer.Deferred:
         """Reads the body; fires with a `BodyEnd`.
 
         Args:
-            on_data: Called with each part of the body as it arrives.
+            on_data: Called with each chunk of the body as it arrives.
         """
         ended: defer.Deferred = defer.Deferred()
         reader = _BodyReader(client=self._client, on_data=on_data, ended=ended)
@@ -201,18 +200,18 @@
         return ended
 
     def abort(self) -> None:
-        """Drops the connection; the endpoint ends its work on seeing that."""
+        """Aborts the connection, which makes the endpoint cancel its work."""
         self._client.transport.abortConnection()
 
 
 @attrs.frozen(kw_only=True)
 class OutboundRequest:
-    """A request as it is written.
+    """A request as it is written to the connection.
 
     Attributes:
         method: The HTTP method.
-        uri: Path and query, as they are written.
-        headers: Names and values in order; ``Host`` stands once.
+        uri: Path and query, already encoded.
+        headers: Names and values in order; ``Host`` occurs once.
         body: The body, empty for none.
     """
 
@@ -230,18 +229,19 @@
     *,
     connect_timeout_s: float,
 ) -> Result[Answer, CallFailed]:
-    """Sends a request and returns the head of its answer.
+    """Sends a request and returns the answer with its body unread.
 
-    Cancelling ends the connection.
+    Cancelling aborts the connection.
 
     Args:
         reactor: The reactor.
-        host: The IP number.
+        host: The IP address.
         port: The port.
-        request: The request, or what makes it in the turn in which it is
-            written: headers tell the time that is left, and a check that is
-            made there holds for the write. None writes nothing.
-        connect_timeout_s: How long the opening may take.
+        request: The request, or a function that returns it. The function is
+            called in the same reactor turn as the write, so that headers
+            with the remaining time are up to date and its checks still hold.
+            If it returns None, nothing is written.
+        connect_timeout_s: Timeout for opening the connection.
     """
     opening = await _connect(reactor, host, port, connect_timeout_s)
     if isinstance(opening, Failure):
@@ -274,13 +274,13 @@
 async def find_connect_error(
     reactor: Any, host: str, port: int, *, connect_timeout_s: float
 ) -> str | None:
-    """Returns why no connection could be opened, None where one was.
+    """Returns why no connection could be opened, None if one was.
 
     Args:
         reactor: The reactor.
-        host: The IP number.
+        host: The IP address.
         port: The port.
-        connect_timeout_s: How long the opening may take.
+        connect_timeout_s: Timeout for opening the connection.
     """
     opening = await _connect(reactor, host, port, connect_timeout_s)
     if isinstance(opening, Failure):
@@ -292,7 +292,7 @@
 async def _connect(
     reactor: Any, host: str, port: int, connect_timeout_s: float
 ) -> Result[_Client, CallFailed]:
-    """Opens a connection; cancelling gives it up."""
+    """Opens a connection; cancelling aborts it."""
     cancelled = False
 
     def cancel(_: defer.Deferred) -> None:
@@ -307,8 +307,8 @@
     try:
         return Success(await connected)
     except internet_error.ConnectError as error:
-        # Twisted has the same kinds of error for an opening that timed out
-        # and one that was cancelled.
+        # Twisted raises the same error types for a timeout and for a
+        # cancelled connection attempt.
         if cancelled:
             raise defer.CancelledError() from None
         return Failure(CallFailed(written=False, reason=type(error).__name__))
@@ -324,16 +324,16 @@
     timeout_s: float,
     max_bytes: int,
 ) -> Result[tuple[int, bytes], CallFailed]:
-    """Returns status and body of a small answer that is read as a whole.
+    """Returns the status and the complete body of a small answer.
 
     Args:
         reactor: The reactor.
-        host: The IP number.
+        host: The IP address.
         port: The port.
         request: The request.
-        connect_timeout_s: How long the opening may take.
-        timeout_s: How long all of it may take.
-        max_bytes: The largest body.
+        connect_timeout_s: Timeout for opening the connection.
+        timeout_s: Timeout for the whole exchange.
+        max_bytes: Maximum size of the body.
     """
     fetched = defer.Deferred.fromCoroutine(
         _fetch(reactor, host, port, request, connect_timeout_s, max_bytes)
@@ -387,8 +387,8 @@
 
 
 def _was_cancelled(error: BaseException) -> bool:
-    # A request that is cancelled while its answer is awaited fails like one
-    # whose connection was lost, with the cancellation as the reason.
+    # A request that is cancelled while waiting for its answer fails with the
+    # error of a lost connection, which has the cancellation as its reason.
     reasons = getattr(error, "reasons", None) or ()
     return any(reason.check(defer.CancelledError) for reason in reasons)
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
@@ -1,9 +1,10 @@
-"""Queries peers for where a long prompt is best read, and reports it there.
+"""Distributed index of engines' queues and of the holders of shared parts.
 
-The queue of each engine, and the holders of each shared part, are known to
-the daemons that own them by hashing, the same in the eyes of all that hear
-the same peers. A query costs a few milliseconds; a prompt that is sent behind
-others, or a part that is read again, costs hundreds.
+Each engine's queue and each shared part is owned by daemons that are chosen by
+hashing; all daemons that see the same peers find the same owners. Daemons
+report long prefills to the owners and query them before they place a long
+prompt. A query costs a few milliseconds; a prompt queued behind others, or a
+part that is prefilled twice, costs hundreds.
 """
 
 from collections.abc import Callable
@@ -21,11 +22,11 @@
 from bulrushgrade_daemon import peerqueries
 
 FORGET_PERIOD_S = 1.0
-"""Between two searches for entries that nobody ended."""
+"""Interval between searches for expired entries."""
 
 
 class PlacementIndex:
-    """Queues and parts that this daemon owns, and the way to other owners."""
+    """Queues and parts that this daemon owns, and queries to other owners."""
 
     name = "placementindex"
     requires = ("timer",)
@@ -38,15 +39,15 @@
         find_owners: Callable[[str], list[str]],
         send: Callable[[str, gatewaymessages.Message], bool],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
             timers: The timer service.
             own_name: This daemon's name among its peers.
-            find_owners: Returns the owners of an engine's queue or a part,
-                whom to query first.
-            send: Sends a message to a peer; returns whether it is known
-                where that is.
+            find_owners: Returns the owners of an engine's queue or a part;
+                the first one is queried.
+            send: Sends a message to a peer; returns whether the peer's
+                address is known.
         """
         self._timers = timers
         self._own_name = own_name
@@ -60,20 +61,20 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Questions to peers, and those without all replies in time."""
+        """Queries to peers, and those without all replies in time."""
         return self._queries.counts
 
     async def start(self) -> None:
-        """Begins to drop what nobody ended."""
+        """Starts to drop expired entries."""
         self._tick = self._timers.every(FORGET_PERIOD_S, self._forget)
 
     async def stop(self) -> None:
-        """Drops nothing any more."""
+        """Stops to drop expired entries."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes peers' queries, replies and reports on engines and parts."""
+        """Handles peers' queries, replies and reports on engines and parts."""
         now = self._timers.now
         match message:
             case gatewaymessages.WaitQuery(peer, number):
@@ -101,7 +102,7 @@
                 self._parts.update(_parse_holder(message), now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns how much this daemon owns."""
+        """Returns the number of entries that this daemon owns."""
         return {
             "readings": len(self._queues),
             "parts": len(self._parts),
@@ -117,7 +118,7 @@
 
         Args:
             engines: The engines' ids.
-            urgency: The prompt's; 0 is read first.
+            urgency: The prompt's urgency; 0 is prefilled first.
         """
         queried: dict[str, list[str]] = {}
         for engine in engines:
@@ -140,9 +141,9 @@
         return {engine: ms / 1000 for engine, ms in waits_ms.items()}
 
     async def query_holders(self, part: str) -> list[prefixindex.PrefixHolder]:
-        """Returns the engines that were lately sent a shared part.
+        """Returns the engines that were recently sent a shared part.
 
-        None are known where its owner did not reply in time.
+        Returns none if the owner did not reply in time.
 
         Args:
             part: The part's id.
@@ -167,15 +168,15 @@
         prefill: engineload.PendingPrefill,
         parts: tuple[prompt_module.PromptPart, ...] = (),
     ) -> Callable[[bool], None]:
-        """Reports that a prompt is sent; returns what reports its end.
+        """Reports the start of a prefill; returns a function to report its end.
 
-        The returned function takes whether it was read. Only its first call
-        counts.
+        The returned function takes whether the prompt was prefilled. Only its
+        first call counts.
 
         Args:
             engine: The engine's id.
-            prefill: The reading.
-            parts: Shared parts that the engine will then have.
+            prefill: The prefill.
+            parts: Shared parts that the engine will hold afterwards.
         """
         owners, number = self._find_owners(engine), next(self._numbers)
         begun = gatewaymessages.Begun(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
@@ -1,4 +1,4 @@
-"""Decides which callers' requests are taken, and refuses the others."""
+"""Decides which callers' requests are accepted, and refuses the others."""
 
 from collections.abc import Callable
 import random
@@ -17,7 +17,7 @@
 
 
 class RequestAdmission:
-    """Finds a request's route and workspace, or why it is not taken."""
+    """Finds a request's route and workspace, or refuses it."""
 
     def __init__(
         self,
@@ -30,16 +30,16 @@
         log: requestlog.RequestLog,
         rng: random.Random,
     ):
-        """Makes the admission.
+        """Creates the admission.
 
         Args:
             timers: The timer service.
             dialect: Translates headers.
             table: Returns the routes in force, or None before the first.
-            ledger: What is known of crashes of endpoints.
-            ends_in_s: Returns the seconds that are left for requests that
-                come now; None where there is no limit.
-            log: Gets a line for each request that is not taken.
+            ledger: Requests that were in flight at endpoints that crashed.
+            ends_in_s: Returns the time that requests arriving now have left,
+                None if there is no limit.
+            log: Gets a line for each refused request.
             rng: Source of random choices.
         """
         self._timers = timers
@@ -53,11 +53,11 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Requests that were not taken, by the reason."""
+        """Number of refused requests, by reason."""
         return dict(self._counts)
 
     def admit(self, caller: front.CallerRequest) -> inflight.InFlight | None:
-        """Returns a request that is taken; answers one that is not."""
+        """Returns an accepted request; answers and drops a refused one."""
         info = self._dialect.read_request_info(caller.requestHeaders)
         table = self._table()
         if table is None:
@@ -102,8 +102,8 @@
         return None if self._refuse_quarantined(request) else request
 
     def _refuse_quarantined(self, request: inflight.InFlight) -> bool:
-        """Refuses a request that crashes endpoints; returns whether it did."""
-        # Nothing is hashed while no endpoint has crashed.
+        """Refuses a quarantined request; returns whether it did."""
+        # No fingerprint is computed while no endpoint has crashed.
         if not len(self._ledger):
             return False
         request.avoid_zones = self._ledger.zones(request.fingerprint)
@@ -132,10 +132,10 @@
     table: routing.RouteTable,
     route: routing.Route,
 ) -> workspaces.Workspace | workspaces.Denial | None:
-    """Returns whose request it is; None where it may be anybody's.
+    """Returns the workspace of a request, or None if it needs no key.
 
-    A key that is taken away ends no request that was taken before: its
-    attempts go on under the workspace that it was taken for.
+    Revoking a key doesn't end requests that were accepted before: their
+    attempts continue under the workspace found here.
     """
     keys = table.configuration.keys
     if keys is None:
--- a/packages/bulrushgrade_daemon/tests/test_cachesharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachesharing.py
@@ -1,4 +1,4 @@
-"""Tests of what peers learn of engines' caches."""
+"""Tests of sharing changes of engines' caches among peers."""
 
 import attrs
 from test_directory import make as make_registration
@@ -13,7 +13,7 @@
 
 @attrs.define(slots=False)
 class EngineWork:
-    """Notes what it is given."""
+    """Records the changes that are applied."""
 
     applied: list = attrs.field(factory=list)
 
@@ -26,7 +26,7 @@
 
 @attrs.define(slots=False)
 class Gossip:
-    """Notes what it is to advertise."""
+    """Records the changes that are advertised."""
 
     advertised: list = attrs.field(factory=list)
 
@@ -59,9 +59,9 @@
 
 
 def test_drop_of_an_unadvertised_part_is_not_advertised():
-    # Engines drop hundreds of short parts a second. Told to all, they took
-    # the room of the long ones, and prompts were sent for parts that were
-    # gone.
+    # Engines drop hundreds of short parts a second. When all were advertised,
+    # they displaced the long ones in the messages, and prompts were sent to
+    # engines that no longer had their parts.
     sharing, work, gossip = make()
     observe(sharing, "a", LONG_TOKENS - 1)
     observe(sharing, "a", 0)
--- a/packages/bulrushgrade_daemon/tests/test_cachewatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_cachewatch.py
@@ -53,9 +53,9 @@
 
 
 def test_first_read_keeps_what_another_daemon_advertised():
-    """The daemon that followed an engine dies and this one takes over.
+    """The daemon that followed an engine dies, and this one takes over.
 
-    The engine has dropped its oldest changes long ago; this daemon heard them
+    The engine dropped its oldest changes long ago, but this daemon knows them
     from the other one.
     """
     reactor, _, applied, _ = make(found(lost=True))
--- a/packages/bulrushgrade_daemon/tests/test_crashrecords.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashrecords.py
@@ -1,4 +1,4 @@
-"""Tests of records of requests at crashed endpoints."""
+"""Tests of encoding involvements in crashes as records."""
 
 import hypothesis
 from hypothesis import strategies as st
--- a/packages/bulrushgrade_daemon/tests/test_crashsharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashsharing.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts share which requests were at crashed endpoints."""
+"""Tests of sharing involvements in crashes among hosts."""
 
 import fakes
 from returns.result import Failure
@@ -34,7 +34,7 @@
 
 
 class Topic:
-    """The records of a topic, which may be away."""
+    """The records of a topic, which may be unreachable."""
 
     def __init__(self):
         self.records: dict[str, bytes] = {}
@@ -60,7 +60,7 @@
 
 
 class Host:
-    """One host that shares by a topic."""
+    """One host that shares involvements by a topic."""
 
     def __init__(self, *, topic=None, leads=True):
         self.clock, timers, self.broken = fakes.make_timers()
@@ -96,7 +96,7 @@
 
 
 def test_crashes_seen_by_different_hosts_add_up():
-    """Each host saw one crash of a request, and none knew of three."""
+    """Each host saw one crash of a request, and none counted three."""
     one = Host()
     other = Host(topic=one.topic)
     one.sharing.observe_crash(make_crash("e1", "bad", zone="z1"))
@@ -147,9 +147,9 @@
 
 
 def test_pending_records_are_bounded_while_the_store_is_away():
-    """A zone failed beside the store; what waited to be written grew on.
+    """A zone and the store fail together; pending records grew without bound.
 
-    A request that was at a crash before is told of all the same.
+    Records of a request that was at an earlier crash are kept beyond the bound.
     """
     host = Host()
     host.sharing.observe_crash(make_crash("e0", "bad", zone="z0"))
@@ -187,9 +187,9 @@
 
 
 def test_deletions_are_batched_and_delay_no_crash():
-    """Each request that met a crash and went on cost a call to the store.
+    """Each request that was at a crash and then completed cost a store call.
 
-    While drops were gathered, a crash waited behind them.
+    While deletions were batched, a new crash had to wait behind them.
     """
     host = Host()
     host.sharing.observe_crash(make_crash("e1", *map(str, range(9))))
@@ -219,7 +219,7 @@
 
 
 def test_involvement_that_the_store_lost_is_written_again():
-    """The store came back without the last seconds of a topic."""
+    """The store comes back without the last seconds of a topic."""
     host = Host()
     host.sharing.observe_crash(make_crash("e1", "bad"))
     host.topic.records.clear()
--- a/packages/bulrushgrade_daemon/tests/test_crashwatch.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashwatch.py
@@ -1,4 +1,4 @@
-"""Tests of how endpoints that end with requests are noticed."""
+"""Tests of detecting endpoints that crash with requests."""
 
 import attrs
 import fakes
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class Caller:
-    """What a fingerprint is made from."""
+    """A caller with the fields that a fingerprint is computed from."""
 
     arrived_at: float = 0.0
     address: str = "10.0.0.1"
@@ -42,7 +42,7 @@
 
 
 class Scene:
-    """A watch whose checks are answered by the test."""
+    """A watch whose checks end as the test specifies."""
 
     def __init__(self):
         self.clock, timers, self.broken = fakes.make_timers()
@@ -102,7 +102,7 @@
 
 
 def test_truncated_answer_of_a_live_endpoint_is_no_crash():
-    """An endpoint tears an answer; its request was taken for harmful."""
+    """An endpoint truncates an answer; its request was counted as harmful."""
     scene = Scene()
     scene.connect_error = None
     scene.watch.observe_broken_answer(make_request("r1", began_at=0.0))
@@ -112,7 +112,7 @@
 
 
 def test_end_of_a_draining_endpoint_is_no_crash():
-    """An endpoint that drains ends with a request; that was to blame."""
+    """A draining endpoint ends during a request, which got the blame."""
     scene = Scene()
     scene.leaving.add("e1")
     scene.watch.observe_broken_answer(make_request("r1", began_at=0.0))
@@ -121,7 +121,7 @@
 
 
 def test_request_waits_until_its_endpoint_is_checked():
-    """It was sent on before its third crash was known, to a fourth engine."""
+    """It was retried at a fourth engine before its third crash was known."""
     scene = Scene()
     scene.check_blocker = defer.Deferred()
     scene.watch.observe_broken_answer(make_request("r1"))
--- a/packages/bulrushgrade_daemon/tests/test_endpointchooser.py
+++ b/packages/bulrushgrade_daemon/tests/test_endpointchooser.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon believes of its engines when it chooses."""
+"""Tests of choosing endpoints and of the state of engines behind it."""
 
 import random
 
@@ -53,13 +53,13 @@
 
 @attrs.frozen(kw_only=True)
 class Caller:
-    """A caller whose request came at a time."""
+    """A caller whose request arrived at a given time."""
 
     arrived_at: float = 0.0
 
 
 class Scene:
-    """One daemon with two engines that read and two that generate."""
+    """One daemon with two prefillers and two decoders."""
 
     def __init__(self):
         self.reactor, self.timers, _ = fakes.make_timers()
@@ -112,7 +112,7 @@
         return engine
 
     def choose(self, request):
-        """Returns the ids of the reading and the generating engine."""
+        """Returns the ids of the prefiller and the decoder."""
         found = self.chooser.choose(request)
         prefiller = request.plan and request.plan.prefill
         return prefiller and prefiller.id, found and found.id
@@ -124,7 +124,7 @@
         )
 
     def start_stream(self, id):
-        """Has an engine stream an answer; returns what takes its events."""
+        """Starts a stream at an engine; returns its callback for events."""
         engine, request = self.find(id), make_request()
         self.chooser.choose(request)
         return self.work.begin_stream(request, engine).events
@@ -152,10 +152,10 @@
 
 
 def test_ejected_engines_that_stream_to_peers_are_not_lost():
-    """A daemon fails at both engines that generate, others do not.
+    """One daemon fails to reach both decoders, its peers don't.
 
-    It had a prefiller change its role because "no decode engine", and prompts
-    waited for the rest of the day behind one prefiller fewer.
+    It ordered a prefiller to become a decoder ("no decode engine"), and
+    prompts queued for the rest of the day with one prefiller fewer.
     """
     scene = Scene()
     scene.eject("d1", "d2")
@@ -165,11 +165,11 @@
 
 
 def test_engine_that_refuses_connections_while_streaming_is_full():
-    """Two of six engines crash in a burst; the others take no more connections.
+    """Two of six engines crash in a burst; the others accept no connections.
 
-    Each host took all of them out for a second after two refused connections,
-    for two the next time, and refused some 800 requests with `no endpoint`
-    while the engines emptied to a fifth of their slots.
+    After two refused connections, each host ejected all of them for a second,
+    then for two, and refused some 800 requests with `no endpoint` while the
+    use of the engines fell to a fifth of their slots.
     """
     scene = Scene()
     observe_events = scene.start_stream("d1")
@@ -192,10 +192,10 @@
 
 
 def test_ejected_decoders_are_used_when_all_are_ejected():
-    """All engines that generate fail twice, for other reasons each.
+    """All decoders fail twice, each for a different reason.
 
-    Those that read were left, so that nothing seemed amiss; every request was
-    refused until the ejections ran out.
+    As prefillers were left, the balancer did not see that a whole role was
+    ejected, and every request was refused until the ejections ended.
     """
     scene = Scene()
     scene.eject("d1", "d2")
@@ -203,9 +203,9 @@
 
 
 def test_prefiller_whose_address_was_taken_over_is_ejected_at_once():
-    """An engine that read prompts crashed and its address was taken over.
+    """A prefiller crashes, and another endpoint takes over its address.
 
-    Until its record lapsed, every prompt that was sent there was refused.
+    Every prompt that was sent there was refused until the record expired.
     """
     for first, other in (("p1", "p2"), ("p2", "p1")):
         scene = Scene()
@@ -223,10 +223,10 @@
 
 
 def test_long_prompt_expected_late_gets_lowest_urgency():
-    """A burst of long prompts comes, half of which could be in time.
+    """A burst of long prompts arrives, of which half could be in time.
 
-    Read in the order of arrival, all of them were late: the last as much as
-    those that came when there was still time.
+    Served in the order of arrival, all of them were late, also those that
+    arrived while there was still time.
     """
     scene = Scene()
     request = make_request(tokens=30_000, route=DRAFTS)
@@ -240,9 +240,10 @@
 
 
 def test_late_work_of_a_more_urgent_route_keeps_its_urgency():
-    """Short prompts wait in a burst, some longer than their target.
+    """Some short prompts wait longer than their target during a burst.
 
-    Behind all long prompts they were not late but lost: their callers left.
+    Queued behind all long prompts they were never served in time, and their
+    callers disconnected.
     """
     scene = Scene()
     request = make_request(tokens=30_000, route=QUERIES)
@@ -272,7 +273,7 @@
     parts=st.lists(st.tuples(st.sampled_from("abc"), COUNTS), max_size=3),
 )
 def test_any_prompt_is_placed_or_refused(prompt_tokens, output_tokens, parts):
-    """A caller's figures broke the planner, and with it the host."""
+    """Extreme values from a caller crashed the planner and thus the host."""
     scene = Scene()
     request = make_request()
     request.info = attrs.evolve(
@@ -295,8 +296,8 @@
 def test_prompt_that_no_engine_can_hold_is_refused_at_once():
     """One caller's prompt was larger than any engine's memory.
 
-    It was sent to engines that all refused it, and the mean size of long
-    prompts, by which others are admitted, went up a hundred times.
+    It was sent to engines that all refused it, and it raised the mean size of
+    long prompts, which admission depends on, a hundredfold.
     """
     scene = Scene()
     usual = make_request(tokens=50_000)
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of requests whose endpoints crash."""
+"""Tests of requests whose endpoints crash."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 class Caller:
-    """A caller's request and what it is answered."""
+    """A caller's request that records its answers."""
 
     arrived_at = 0.0
     gone = False
@@ -76,11 +76,11 @@
         return outbound.BodyEnd(whole=True)
 
     def abort(self):
-        """Has no connection."""
+        """Does nothing; there is no connection."""
 
 
 class Watch:
-    """Takes note of broken answers; has their endpoints checked."""
+    """Records truncated answers, each taken for a crash if so set."""
 
     def __init__(self, ledger):
         self._ledger = ledger
@@ -97,11 +97,11 @@
             self._ledger.add_involvement(involvement, now=0.0)
 
     async def wait_for_check(self, endpoint):
-        """Has nothing to wait for."""
+        """Returns at once; checks take no time here."""
 
 
 class Scene:
-    """A forwarder whose attempts end as a test says."""
+    """A forwarder whose attempts end as the test specifies."""
 
     def __init__(self, *ends):
         self.clock, timers, self.broken = fakes.make_timers()
@@ -172,28 +172,28 @@
         self.forwarder.handle(caller)
         return caller
 
-    # What chooses endpoints.
+    # The methods of the endpoint chooser.
 
     async def query_peers(self, request):
-        """Has no peers."""
+        """Does nothing; there are no peers."""
 
     def choose(self, request):
         self.avoided.append(request.avoid_zones)
         return self.endpoints[len(self.sent) % len(self.endpoints)]
 
     def observe_success(self, endpoint, latency_s):
-        """Learns nothing."""
+        """Does nothing."""
 
     def begin(self, endpoint):
-        """Keeps no count."""
+        """Does nothing."""
 
     def end(self, endpoint):
-        """Keeps no count."""
+        """Does nothing."""
 
     def observe_failed_attempt(self, request, endpoint, ended):
-        """Ejects nobody."""
+        """Does nothing; no endpoint is ejected."""
 
-    # What sends requests.
+    # The methods of `EndpointCalls`.
 
     async def run(self, request, endpoint, prefilled):
         self.sent.append(endpoint.id)
@@ -204,7 +204,7 @@
 
 
 def test_request_is_not_retried_after_its_third_crash():
-    """A request was sent to a fourth endpoint by the host that saw three."""
+    """The host that saw three crashes sent the request to a fourth endpoint."""
     scene = Scene(LOST, LOST, LOST)
     caller = scene.send()
     assert scene.sent == ["e1", "e2", "e3"]
@@ -217,7 +217,7 @@
 
 
 def test_crash_sends_a_request_to_another_zone():
-    """A zone failed bit by bit, and its requests were moved within it."""
+    """A zone failed gradually, and its requests were retried within it."""
     scene = Scene(LOST, LOST, LOST)
     scene.send()
     assert scene.avoided == [set(), {"z1"}, {"z1", "z2"}]
@@ -234,7 +234,7 @@
 
 
 def test_complete_failure_answer_triggers_no_endpoint_check():
-    """Endpoints that answered were checked, at the price of a connection."""
+    """Endpoints that answered were checked, which cost a connection each."""
     answered = attrs.evolve(LOST, connection_lost=False)
     scene = Scene(answered, answered, answered)
     scene.send()
@@ -242,7 +242,7 @@
 
 
 def test_whole_answer_clears_a_quarantined_request():
-    """Where it ends whole, its request was not to blame."""
+    """If the answer completes, the request did not cause the crashes."""
     answer = defer.Deferred()
     scene = Scene(answer)
     caller = scene.send()
@@ -258,7 +258,7 @@
 
 
 def test_silent_endpoint_is_checked_when_its_caller_leaves():
-    """Engines whose hosts vanished closed no connection and were not found."""
+    """Engines on vanished hosts closed no connection and went undetected."""
     for silent_s, checked in ((0.5, []), (1.5, ["e1"])):
         scene = Scene(defer.Deferred())
         caller = scene.send()
@@ -269,7 +269,7 @@
 
 
 def make_fingerprint():
-    """Returns the fingerprint of what a caller of the scene sends."""
+    """Returns the fingerprint of the request that the scene sends."""
     request = inflight.InFlight(
         caller=Caller(), info=None, route=SAFE, service="llm", deadline=3.0
     )
@@ -277,10 +277,10 @@
 
 
 def test_unexpected_error_in_a_request_does_not_stop_the_host():
-    """A request met a fault of the host, and so did each host after it.
+    """A request triggers a fault in the host's code, on every host.
 
-    The process ended with all that it served, and the caller's next try took
-    the next host.
+    The process stopped and cut all its requests, and the caller's retry
+    stopped the next host.
     """
     scene = Scene(ValueError("unexpected"))
     caller = scene.send()
--- a/packages/bulrushgrade_daemon/tests/test_inflight.py
+++ b/packages/bulrushgrade_daemon/tests/test_inflight.py
@@ -1,4 +1,4 @@
-"""Tests of a request under way."""
+"""Tests of a request in flight."""
 
 import attrs
 import pytest
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Caller:
-    """A caller that came at a time."""
+    """A caller whose request arrived at a given time."""
 
     arrived_at: float = 10.0
 
@@ -59,7 +59,7 @@
 
 @attrs.define(kw_only=True)
 class Sent:
-    """What a caller sent."""
+    """A request as a caller sent it."""
 
     arrived_at: float = 0.0
     address: str = "10.0.0.1"
@@ -81,7 +81,7 @@
 
 
 def test_callers_retry_has_the_same_fingerprint():
-    """A request came again from another address, and was not known."""
+    """A repetition from another address was not recognized."""
     assert make_fingerprint(Sent()) == make_fingerprint(
         Sent(arrived_at=5.0, address="10.0.0.2")
     )
--- a/packages/bulrushgrade_daemon/tests/test_outbound.py
+++ b/packages/bulrushgrade_daemon/tests/test_outbound.py
@@ -12,7 +12,7 @@
 
 
 class Connector:
-    """An opening that ends as a test says."""
+    """A connection attempt that ends as the test specifies."""
 
     def __init__(self, factory):
         self._factory = factory
@@ -28,7 +28,7 @@
 
 
 class Transport:
-    """A connection that was opened."""
+    """An open connection."""
 
     is_aborted = False
 
@@ -36,17 +36,17 @@
         return self
 
     def setsockopt(self, *option):
-        """Takes what is set of the socket."""
+        """Ignores socket options."""
 
     def setTcpNoDelay(self, on):  # noqa: N802
-        """Takes that small parts are sent at once."""
+        """Ignores the option."""
 
     def abortConnection(self):  # noqa: N802
         self.is_aborted = True
 
 
 class Reactor:
-    """Keeps the connectors that it was asked for."""
+    """Records the connectors that it creates."""
 
     def __init__(self):
         self.connectors = []
@@ -65,11 +65,11 @@
 
 
 def test_failed_connect_is_returned_as_a_failure():
-    """A host is cut off and the opening of a connection times out.
+    """A host is cut off, and opening a connection times out.
 
-    Twisted's timeout is a kind of the error that it gives for a cancelled
-    opening. Taken for a cancellation, it ended the follower of the store
-    without a word, and the gateway served for ever by what it knew then.
+    Twisted's timeout is a subclass of the error that it raises for a cancelled
+    attempt. Taken for a cancellation, it silently ended the task that follows
+    the store, and the gateway kept serving by outdated data.
     """
     for reason in (error.TimeoutError(), error.ConnectionRefusedError()):
         connector, pending_send = send()
--- a/packages/bulrushgrade_daemon/tests/test_placementindex.py
+++ b/packages/bulrushgrade_daemon/tests/test_placementindex.py
@@ -1,4 +1,4 @@
-"""Tests of who owns queues and parts among daemons."""
+"""Tests of the index of queues and shared parts among daemons."""
 
 import fakes
 from twisted.internet import defer
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """Daemons whose messages arrive in the next turn, or not at all."""
+    """Daemons whose messages arrive in the next reactor turn, or never."""
 
     def __init__(self, *names, owner):
         self.reactor, self.timers, _ = fakes.make_timers()
@@ -91,8 +91,8 @@
 
 
 def test_part_is_known_while_it_is_prefilled():
-    # The same long part comes to two daemons within the time of reading it.
-    # Each had it read, as it only heard of the other's a second later.
+    # Two daemons get prompts with the same long part during its prefill. Each
+    # had the part prefilled, as it learned of the other one a second later.
     fleet = Fleet("h1", "h2", "h3", owner="h3")
     end = fleet.indexes["h1"].begin("e", make_prefill(0.4), PARTS)
     assert fleet.holders("h2") == [("e", "coming")]
@@ -109,8 +109,8 @@
 
 
 def test_host_that_cannot_reach_the_first_owner_queries_the_next():
-    # A link is cut between two hosts, so that they do not agree on who owns
-    # a queue. Each had a queue of its own, with some of the prompts in it.
+    # The link between two hosts is cut, so that they disagree on the owner of
+    # a queue. Each kept a separate queue with only some of the prompts.
     fleet = Fleet("h1", "h2", "h3", "h4", owner="h3")
     fleet.owners = ["h3", "h4"]
     end = fleet.indexes["h1"].begin("e", make_prefill(0.4), PARTS)
