--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
@@ -20,8 +20,8 @@
 
 READ_PERIOD_S = 0.5
 """Interval between reads of an engine. A part is reused after about ten
-seconds; a delay of half a second means that one prompt in twenty is placed
-without knowing of it."""
+seconds; with a delay of half a second, one prompt in twenty is placed without
+knowing of it and misses the better engine."""
 
 RETRY_PERIOD_S = 2.0
 """Interval between reads of an engine that does not answer."""
@@ -108,7 +108,7 @@
         return {"reads": self._reads, "failed": self._failures}
 
     async def start(self) -> None:
-        """Starts to read."""
+        """Starts reading."""
         self._tick = self._timers.every(READ_PERIOD_S / 2, self._read_due)
 
     async def stop(self) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -125,7 +125,7 @@
         )
 
     async def start(self) -> None:
-        """Starts to drop old records."""
+        """Starts dropping old records."""
         self._tick = self._timers.every(EXPIRE_PERIOD_S, self._expire)
 
     async def stop(self) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class InterruptedRequest:
-    """A request whose answer was truncated.
+    """A request whose answer was truncated or stayed silent.
 
     Attributes:
         fingerprint: Identifies the request and its repetitions.
@@ -58,7 +58,7 @@
     """The check of an endpoint that has not finished.
 
     Attributes:
-        runs: The requests whose answers were truncated there.
+        runs: The requests whose answers there were truncated or silent.
         waiting: Deferreds that fire when the check has finished.
     """
 
@@ -123,7 +123,7 @@
         return dict(self._counts)
 
     def observe_broken_answer(self, request: inflight.InFlight) -> None:
-        """Takes in a truncated answer and has its endpoint checked."""
+        """Takes in a truncated or silent answer and checks its endpoint."""
         endpoint = request.endpoint
         if self._is_leaving(endpoint):
             return
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/endpointchooser.py
@@ -63,7 +63,7 @@
         self._changes = stagechanges.StageChanges()
 
     async def query_peers(self, request: inflight.InFlight) -> None:
-        """Queries peers about a long prompt: who holds its parts, and waits."""
+        """Queries peers for holders of a long prompt's parts and for waits."""
         request.waits_s = {}
         prompt, traits = request.info.prompt, self._work.traits(request.service)
         if traits is None or prompt is None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
@@ -65,11 +65,11 @@
         return self._queries.counts
 
     async def start(self) -> None:
-        """Starts to drop expired entries."""
+        """Starts dropping expired entries."""
         self._tick = self._timers.every(FORGET_PERIOD_S, self._forget)
 
     async def stop(self) -> None:
-        """Stops to drop expired entries."""
+        """Stops dropping expired entries."""
         if self._tick is not None:
             self._tick.cancel()
 
