--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -1,4 +1,4 @@
-"""Seeks and holds authority over groups of engines, and gives orders."""
+"""Acquires the leases of engine groups and sends orders to their engines."""
 
 from collections.abc import Callable
 import random
@@ -28,19 +28,19 @@
 from bulrushgrade_daemon import task
 
 TICK_S = 0.1
-PLAN_S = 1.0
-# How long a stop waits for the release of its leases to be taken. Past it the
-# next holder waits for the lease's time, as after a crash.
-STOP_LIMIT_S = 2.0
+PLAN_INTERVAL_S = 1.0
+# How long a stop waits until the releases of its leases are stored. If they
+# are not, the next holder waits for the leases to expire, as after a crash.
+RELEASE_TIMEOUT_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class PeerDemands:
-    """What callers have asked another host for.
+    """The demand of callers at another host.
 
     Attributes:
         peer: The host.
-        demands: Counters since its start, one entry a model.
+        demands: Counters since that host started, one entry per model.
     """
 
     peer: str
@@ -49,25 +49,27 @@
 
 @attrs.frozen(kw_only=True)
 class AuthorityParts:
-    """The services that authority works with.
+    """The services and callbacks that `Authority` uses.
 
     Attributes:
         timers: The timer service.
         log: Reads the control streams.
         writer: Appends to them.
-        place: Knows the engines' reports and keeps work from them.
-        ties: Knows the listed hosts.
-        orders: Writes orders to engines.
-        capacity: Returns what an engine of a model reads and generates.
-        demands: Returns what callers have asked this host for.
-        on_broken: Called with the reason of a broken invariant.
+        placement: Knows the engines' reports and can hold work back from
+            them.
+        host_mesh: Knows the hosts on the host list.
+        orders: Sends orders to engines.
+        capacity: Returns an engine's rates of prefill and decode for a model,
+            in tokens a second.
+        demands: Returns the demand of this host's callers.
+        on_broken: Called with the reason when an invariant is broken.
     """
 
     timers: Any
     log: logclient.LogClient
     writer: logwriter.LogWriter
-    place: placing.Placing
-    ties: mesh.Mesh
+    placement: placing.Placing
+    host_mesh: mesh.Mesh
     orders: orders.OrderClient
     capacity: Callable[[str], tuple[float, float]]
     demands: Callable[[], tuple[work.Demand, ...]]
@@ -75,7 +77,7 @@
 
 
 class Authority:
-    """This host's part in the control of its groups."""
+    """Competes for the leases of groups and controls those that it holds."""
 
     name = "authority"
     requires = ("timer", "log", "logwriter", "placing", "mesh", "orders")
@@ -91,8 +93,8 @@
         """Makes the service.
 
         Args:
-            settings: The groups and the lease's times.
-            holder: A name that is unique for this run of the daemon.
+            settings: The groups and the times of their leases.
+            holder: A name that is unique to this run of the daemon.
             parts: The services it works with.
             rng: Source of jitter.
         """
@@ -102,27 +104,27 @@
         self._groups: list[group_module.Group] = []
         self._tails: list[logclient.LogTail] = []
         self._subscriptions: list[Any] = []
-        self._acted: dict[str, bool] = {}
+        self._held_lease: dict[str, bool] = {}
         for name in settings.groups:
             self._add_group(name, rng)
 
     @property
     def groups(self) -> tuple[group_module.Group, ...]:
-        """The groups that this host may hold."""
+        """The groups whose lease this host may hold."""
         return tuple(self._groups)
 
     async def start(self) -> None:
-        """Begins to follow the control streams."""
+        """Starts to follow the control streams."""
         for tail in self._tails:
             tail.start()
         timers = self._parts.timers
         self._subscriptions = [
             timers.every(TICK_S, self._tick),
-            timers.every(PLAN_S, self._plan),
+            timers.every(PLAN_INTERVAL_S, self._plan),
         ]
 
     async def stop(self) -> None:
-        """Gives up authority, so that the next holder need not wait."""
+        """Releases the leases, so that the next holder need not wait."""
         for subscription in self._subscriptions:
             subscription.cancel()
         releases = []
@@ -131,24 +133,24 @@
             if release is not None:
                 releases.append(self._parts.writer.append(release))
         if releases:
-            await self._wait(defer.DeferredList(releases))
+            await self._wait_for_releases(defer.DeferredList(releases))
         for tail in self._tails:
             tail.stop()
 
     def receive(self, message: Any) -> None:
-        """Takes engines' reports, peers' demands and accepted documents."""
+        """Handles engine reports, demands of peers and accepted documents."""
         now = self._parts.timers.now
         if isinstance(message, placing.EngineSeen):
             if message.load is not None:
                 for group in self._groups:
                     group.observe(message.address, message.load, now)
         elif isinstance(message, PeerDemands):
-            self._take_demands(message.peer, message.demands, now)
+            self._observe_demands(message.peer, message.demands, now)
         elif isinstance(message, serviceindex.ServiceIndex):
-            self._take_weights(message)
+            self._apply_weights(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns each group's state."""
+        """Returns the state of each group."""
         now = self._parts.timers.now
         return {
             "holder": self._holder,
@@ -162,7 +164,7 @@
             guard_s=settings.lease_guard_s,
             renew_every_s=settings.lease_ttl_s / 3,
         )
-        held = lease.Lease(
+        own_lease = lease.Lease(
             group=name,
             holder=self._holder,
             rank=None,
@@ -170,7 +172,7 @@
             new_id=_new_id,
         )
         tracker = order.OrderTracker(
-            authority=held,
+            authority=own_lease,
             times=order.OrderTimes(
                 pause_allowance_s=settings.pause_allowance_s
             ),
@@ -189,15 +191,15 @@
         )
         self._groups.append(group)
 
-        def take(page: record.Page) -> None:
+        def handle_page(page: record.Page) -> None:
             tracker.apply_page(page, self._parts.timers.now)
 
         self._tails.append(
             logclient.LogTail(
                 log=self._parts.log,
                 timers=self._parts.timers,
-                stream=held.stream,
-                on_page=take,
+                stream=own_lease.stream,
+                on_page=handle_page,
                 on_broken=self._parts.on_broken,
                 rng=rng,
             )
@@ -208,27 +210,31 @@
         for group in self._groups:
             self._update_engines(group)
             group.lease.set_rank(self._rank(group))
-            acting = group.lease.holds_lease(now)
+            holding = group.lease.holds_lease(now)
             group.tick(now)
-            self._log_change(group, acting)
+            self._log_lease_change(group, holding)
 
-    def _log_change(self, group: group_module.Group, acting: bool) -> None:
-        if acting != self._acted.get(group.name, False):
-            self._acted[group.name] = acting
-            word = "held" if acting else "lost"
-            logging.info("authority over %s is %s", group.name, word)
+    def _log_lease_change(
+        self, group: group_module.Group, holding: bool
+    ) -> None:
+        if holding != self._held_lease.get(group.name, False):
+            self._held_lease[group.name] = holding
+            word = "acquired" if holding else "lost"
+            logging.info("lease of group %s %s", group.name, word)
 
     def _plan(self) -> None:
         now = self._parts.timers.now
-        self._take_demands(
-            self._parts.ties.own, tuple(self._parts.demands()), now
+        self._observe_demands(
+            self._parts.host_mesh.listed_address,
+            tuple(self._parts.demands()),
+            now,
         )
         for group in self._groups:
             group.plan(now)
 
     def _update_engines(self, group: group_module.Group) -> None:
-        hosts = self._hosts_of(group)
-        endpoints = self._parts.place.endpoints
+        hosts = self._find_hosts(group)
+        endpoints = self._parts.placement.endpoints
         group.set_engines(
             {
                 h.address: endpoints[h.address]
@@ -239,48 +245,48 @@
             live=frozenset(h.address for h in membership.select_live(hosts)),
         )
 
-    def _hosts_of(
+    def _find_hosts(
         self, group: group_module.Group
     ) -> tuple[membership.Host, ...]:
-        service, place = group_module.parse_group(group.name)
+        service, location = group_module.parse_group(group.name)
         return tuple(
             host
-            for host in self._parts.ties.hosts
+            for host in self._parts.host_mesh.hosts
             if host.kind is membership.Kind.ENGINE
             and host.service == service
-            and place in (host.zone, host.region)
+            and location in (host.zone, host.region)
         )
 
     def _rank(self, group: group_module.Group) -> int | None:
-        """Returns this host's place among the group's candidates."""
-        hosts = self._hosts_of(group)
+        """Returns this host's rank among the candidates, None if not one."""
+        hosts = self._find_hosts(group)
         if not hosts:
             return None
         daemons = [
             host
-            for host in self._parts.ties.hosts
+            for host in self._parts.host_mesh.hosts
             if host.kind is membership.Kind.ENTRY
         ]
-        place = (hosts[0].region, hosts[0].zone)
-        candidates = subset.choose_candidates(group.name, place, daemons)
-        own = self._parts.ties.own
+        location = (hosts[0].region, hosts[0].zone)
+        candidates = subset.choose_candidates(group.name, location, daemons)
+        own = self._parts.host_mesh.listed_address
         return candidates.index(own) if own in candidates else None
 
-    def _take_demands(
+    def _observe_demands(
         self, host: str, demands: tuple[work.Demand, ...], now: float
     ) -> None:
-        endpoints = self._parts.place.endpoints
+        endpoints = self._parts.placement.endpoints
         for group in self._groups:
             models = {
                 endpoints[h.address].model
-                for h in self._hosts_of(group)
+                for h in self._find_hosts(group)
                 if h.address in endpoints
             }
             for demand in demands:
                 if demand.model in models:
                     group.observe_demand(host, demand, now)
 
-    def _take_weights(self, service_index: serviceindex.ServiceIndex) -> None:
+    def _apply_weights(self, service_index: serviceindex.ServiceIndex) -> None:
         for group in self._groups:
             service, _ = group_module.parse_group(group.name)
             document = service_index.services.get(service)
@@ -289,23 +295,24 @@
                 group.set_weights(weights.goodput, weights.role_changes)
 
     def _hold(self, address: str, held: bool) -> None:
-        # With the log away no order can be ended, or given by whoever loses
-        # the lease. An engine held for it would stay out for the length of
-        # the outage though it serves; if it does change, its own report and
-        # its refusals keep work away, at the cost of one more attempt.
+        # While the log is unavailable an order can be neither completed nor
+        # taken over by the next holder. Holding work back would keep a serving
+        # engine idle for the whole outage. If the engine does change its role,
+        # its report and its refusals keep work away at the cost of one more
+        # attempt.
         held = held and self._parts.log.reachable
-        self._parts.place.hold(address, held=held)
+        self._parts.placement.hold(address, held=held)
 
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
     ) -> None:
-        def stored(result: logwriter.Stored) -> None:
+        def handle_result(result: logwriter.AppendResult) -> None:
             if isinstance(result, Failure) and isinstance(
                 result.failure(), logclient.NotStored
             ):
                 failed(append.record_id)
 
-        self._parts.writer.append(append).addCallback(stored)
+        self._parts.writer.append(append).addCallback(handle_result)
 
     def _send_order(
         self, group: group_module.Group, wanted: engineorder.Order
@@ -313,8 +320,8 @@
         tracker, timers = group.order_tracker, self._parts.timers
 
         def check() -> bool:
-            # Asked in the turn of the write, on a connection opened before:
-            # the lease may have run out, or the order changed, meanwhile.
+            # Called right before the write on an open connection: the lease
+            # may have expired, or the order changed, while it was opened.
             if not tracker.may_send(wanted, timers.now):
                 return False
             tracker.sent(wanted, timers.now)
@@ -331,7 +338,7 @@
             on_broken=self._parts.on_broken,
         )
 
-    async def _wait(self, releases: defer.Deferred) -> None:
+    async def _wait_for_releases(self, releases: defer.Deferred) -> None:
         done: defer.Deferred = defer.Deferred()
 
         def finish(_: Any = None) -> None:
@@ -339,7 +346,7 @@
                 done.callback(None)
 
         releases.addBoth(finish)
-        self._parts.timers.after(STOP_LIMIT_S, finish)
+        self._parts.timers.after(RELEASE_TIMEOUT_S, finish)
         await done
 
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -313,8 +313,8 @@
             self._chooser.end(endpoint)
             if request.is_late:
                 self._count("late")
-                engine_state = self._work.describe(endpoint)
-                self._log.note_late(request, endpoint, engine_state)
+                estimates = self._work.describe(endpoint)
+                self._log.log_late(request, endpoint, estimates)
             stream.ended()
             end_work(False)
 
@@ -354,7 +354,7 @@
             await self._crashes.wait_for_check(endpoint)
             request.avoid_zones = self._ledger.zones(request.fingerprint)
         again = self._may_retry(request)
-        self._log.note_attempt(request, endpoint, ended, again=again)
+        self._log.log_attempt(request, endpoint, ended, again=again)
         return again
 
     def _may_retry(self, request: inflight.InFlight) -> bool:
@@ -378,7 +378,7 @@
         """Ends a request that no endpoint answered completely."""
         step = attempts.final_step(request.history)
         self._count(f"ended_{step.value}")
-        self._log.note_ended(request, step, reason)
+        self._log.log_ended(request, step, reason)
         caller = request.caller
         if step is attempts.NextStep.CUT:
             caller.cut()
@@ -396,7 +396,7 @@
             self._count("ended_caller_left")
             return
         self._count("ended_timeout")
-        self._log.note_timed_out(request)
+        self._log.log_timed_out(request)
         if request.history.begun:
             request.caller.cut()
         else:
@@ -412,7 +412,7 @@
         stop another host.
         """
         self._count("ended_broken")
-        self._log.note_broken(request, traceback.format_exc())
+        self._log.log_broken(request, traceback.format_exc())
         if request is not None and request.history.begun:
             caller.cut()
         else:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
@@ -1,4 +1,4 @@
-"""What a gateway shows to the balancer and to operators."""
+"""HTTP pages of a gateway for the load balancer and for operators."""
 
 from collections.abc import Callable
 
@@ -11,8 +11,8 @@
 from bulrushgrade_daemon import pages
 
 
-def show_ready(ready: Callable[[], bool]) -> Callable[[str], pages.Page]:
-    """Returns the page that the balancer asks for."""
+def make_ready_finder(ready: Callable[[], bool]) -> Callable[[str], pages.Page]:
+    """Returns a function that finds the readiness page."""
 
     def find(path: str) -> pages.Page:
         if ready():
@@ -22,14 +22,14 @@
     return find
 
 
-def show_admin(
-    found: metrics.Metrics, kernel: kernel_module.Kernel
+def make_admin_finder(
+    registry: metrics.Metrics, kernel: kernel_module.Kernel
 ) -> Callable[[str], pages.Page]:
-    """Returns the pages for operators."""
+    """Returns a function that finds an operator page by its path."""
 
     def find(path: str) -> pages.Page:
         if path == "/metrics":
-            return pages.Page(status=200, body=found.render())
+            return pages.Page(status=200, body=registry.render())
         if path == "/dump":
             body = msgspec.json.encode(kernel.dump(), enc_hook=str)
             return pages.Page(
@@ -40,10 +40,10 @@
     return find
 
 
-def add_counts(
+def register_metrics(
     services: gatewayservices.GatewayServices, log: decisionlog.DecisionLog
 ) -> None:
-    """Shows what the services count as metrics."""
+    """Exports the counters and gauges of the services as metrics."""
     for name, doc, read in (
         (
             "requests_total",
--- a/packages/bulrushgrade_daemon/tests/control.py
+++ b/packages/bulrushgrade_daemon/tests/control.py
@@ -1,8 +1,8 @@
-"""Daemons that hold authority over engines, for the tests of failures.
+"""A cluster of daemons that compete for a lease, for tests of failures.
 
-It adds to `scene.Scene` what those tests need: daemons on the host list,
-short leases, records written to the control stream as a holder would, and
-what engines and daemons say of orders.
+It extends `scene.Scene` by daemons on the host list, short leases, records
+that are written to the control stream in place of a holder, and the orders
+that engines and daemons report.
 """
 
 from collections.abc import Iterable
@@ -29,31 +29,31 @@
 STREAM = f"control.{GROUP}"
 TTL_S = 1.5
 GUARD_S = 0.2
-PAUSE_S = 1.0
+PAUSE_ALLOWANCE_S = 1.0
 _AUTHORITY = f"""
 [authority]
 groups = {GROUP}
 lease_ttl_s = {TTL_S}
 lease_guard_s = {GUARD_S}
-pause_allowance_s = {PAUSE_S}
+pause_allowance_s = {PAUSE_ALLOWANCE_S}
 """
 
 
 @attrs.frozen(kw_only=True)
-class Ending:
-    """How a command of the command line ended."""
+class CommandResult:
+    """The exit code and output of a command."""
 
     code: int
     text: str
 
     @property
     def json(self) -> Any:
-        """What it printed with ``--json``."""
+        """The output of a command with ``--json``."""
         return json.loads(self.text)
 
 
-class World:
-    """A scene whose daemons are listed and seek authority."""
+class Cluster:
+    """A scene whose daemons are listed and compete for a lease."""
 
     def __init__(
         self, *, started: processes.Processes, directory: pathlib.Path
@@ -65,7 +65,7 @@
 
     @property
     def started(self) -> processes.Processes:
-        """Starts further processes."""
+        """The processes of the test; starts further ones."""
         return self._started
 
     @property
@@ -74,7 +74,7 @@
         return self._scene.log
 
     def start_daemon(self, log: str = "") -> processes.Process:
-        """Starts a daemon that may hold the group, without waiting for it."""
+        """Starts a daemon that may hold the lease, without waiting for it."""
         name = f"holder-{next(self._numbers)}"
         file = scene.write_settings(
             self._directory,
@@ -112,7 +112,7 @@
         assert answer.code == 200
 
     def append(self, stream: str, body: bytes) -> int:
-        """Appends one record past every daemon; returns its offset."""
+        """Appends one record directly to the log; returns its offset."""
         record = {"id": f"test-{next(self._numbers)}", "body": body.decode()}
         answer = processes.call(
             "POST", self.log, path_of(stream), {"records": [record]}
@@ -120,12 +120,12 @@
         assert answer.code == 200, answer.body
         return answer.json["offsets"][0]
 
-    def claim(self) -> int:
-        """Claims the empty group for a holder that runs nowhere."""
+    def append_claim(self) -> int:
+        """Appends a claim of the unheld group for a holder that doesn't run."""
         claim = leaselog.Claim(holder="gone", after_offset=-1)
         return self.append(STREAM, leaselog.CODEC.serialize(claim))
 
-    def intend(
+    def append_intent(
         self,
         engine: str,
         role: str,
@@ -133,7 +133,7 @@
         *,
         adapters: tuple[str, ...] = (),
     ) -> str:
-        """Puts an order on the log as the holder of a term would.
+        """Appends an order to the log as the holder of a term would.
 
         Returns:
             The order's id.
@@ -153,7 +153,7 @@
         return order_id
 
     def publish(self, service: str, text: str, **options: Any) -> int:
-        """Publishes a document past the command line; returns its offset."""
+        """Appends a publish directly to the log; returns its offset."""
         message = publication.Publish(
             service=service,
             team=options.get("team", "operators"),
@@ -166,14 +166,14 @@
         )
 
     def read(self, stream: str) -> list[dict[str, Any]]:
-        """Returns the records that the log has of a stream."""
+        """Returns the records of a stream on the log."""
         path = path_of(stream) + "?limit=1000"
         return processes.call("GET", self.log, path).json["records"]
 
     def start_command(
         self, *arguments: str, log: str = ""
     ) -> subprocess.Popen[str]:
-        """Starts a command of the command line."""
+        """Starts a command of the command-line program."""
         env = dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path))
         env["BULRUSHGRADE_LOG"] = log or self.log
         return subprocess.Popen(
@@ -210,62 +210,64 @@
     return f"/streams/{urllib.parse.quote(stream)}/records"
 
 
-def finish(command: subprocess.Popen[str], limit_s: float = 60.0) -> Ending:
-    """Waits for a command and returns how it ended."""
+def finish(
+    command: subprocess.Popen[str], limit_s: float = 60.0
+) -> CommandResult:
+    """Waits for a command and returns its result."""
     try:
         text, _ = command.communicate(timeout=limit_s)
     except subprocess.TimeoutExpired:
         command.kill()
         command.communicate()
         raise
-    return Ending(code=command.returncode, text=text)
+    return CommandResult(code=command.returncode, text=text)
 
 
 def dump(daemon: processes.Process, service: str) -> Any:
-    """Returns one service's state of a daemon."""
+    """Returns the dump of one service of a daemon."""
     answer = processes.call("GET", daemon.ready["admin"], f"/dump/{service}")
     return answer.json
 
 
 def read_group(daemon: processes.Process) -> dict[str, Any]:
-    """Returns what a daemon says of the group."""
+    """Returns the state of the group in a daemon's dump."""
     return dump(daemon, "authority")["groups"][GROUP]
 
 
 def find_holders(
     daemons: Iterable[processes.Process],
 ) -> list[processes.Process]:
-    """Returns the daemons that say that they act for the group."""
+    """Returns the daemons that report to hold the group's lease."""
     return [d for d in daemons if read_group(d)["acting"]]
 
 
 def wait_holder(daemons: Iterable[processes.Process]) -> processes.Process:
-    """Waits until one of these daemons acts, and returns it."""
+    """Waits until one of these daemons holds the lease, and returns it."""
     daemons = list(daemons)
     (holder,) = processes.wait_for(lambda: find_holders(daemons))
     return holder
 
 
 def read_orders(engine: str) -> list[dict[str, Any]]:
-    """Returns the orders that an engine has held."""
+    """Returns the orders that an engine has accepted."""
     return processes.call("GET", engine, "/ledger").json["orders"]
 
 
 def read_load(engine: str) -> dict[str, Any]:
-    """Returns what an engine says of itself."""
+    """Returns the load report of an engine."""
     return processes.call("GET", engine, "/load").json
 
 
 def wait_settled(
     daemon: processes.Process, engine: str, role: str, *, order_id: str = ""
 ) -> None:
-    """Waits until an engine has a role and no order of it is unfinished.
+    """Waits until an engine has a role and no order is unfinished.
 
     Args:
-        daemon: Whose word counts for what is unfinished.
+        daemon: The daemon whose dump shows the unfinished orders.
         engine: The engine's address.
         role: The role.
-        order_id: The order that has to be the last one, if given.
+        order_id: If given, the order that the engine must report as its last.
     """
 
     def settled() -> bool:
@@ -279,8 +281,8 @@
     processes.wait_for(settled)
 
 
-def assert_apart(engine: str) -> None:
-    """Checks that an engine never held two orders at the same time."""
+def assert_no_overlap(engine: str) -> None:
+    """Asserts that an engine never carried out two orders at once."""
     held = sorted(read_orders(engine), key=lambda each: each["from_s"])
     for first, second in itertools.pairwise(held):
         assert first["until_s"] is not None, held
@@ -288,5 +290,5 @@
 
 
 def sleep_until(at_s: float) -> None:
-    """Lets time pass that is itself what a test is about, such as a TTL."""
+    """Sleeps until a time, for tests that are about time, such as a TTL."""
     time.sleep(max(0.0, at_s - time.monotonic()))
