--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/documents.py
@@ -214,7 +214,7 @@
                 )
 
     def _append_checkpoint_if_due(self) -> None:
-        """Appends a checkpoint if it is this daemon's turn.
+        """Appends a checkpoint if it is this daemon's turn to do so.
 
         Without checkpoints the documents would be lost with the log's oldest
         records. Running daemons keep them in memory, but once all of them have
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/orders.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/orders.py
@@ -12,8 +12,8 @@
 from bulrushgrade_daemon import httpclient
 
 # An engine answers an order at once or not at all. The timeout closes the
-# connection, so that no byte of an order is sent later than this after the
-# check of the lease.
+# connection, so what is written later than this after the check of the lease
+# meets a closed connection at the engine.
 ORDER_TIMEOUT_S = 3.0
 
 
