--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/cachewatch.py
@@ -1,8 +1,8 @@
-"""Follows what each engine keeps in its cache.
+"""Follows the contents of engines' caches.
 
 Engines number the changes of their caches and keep the newest of them. A
-change is seen late or, now and then, never; a belief that is wrong costs a
-prompt that is read again, no more.
+change is read late and occasionally missed; the only cost of an outdated view
+is a prompt that is prefilled again.
 """
 
 from collections.abc import Awaitable
@@ -18,23 +18,24 @@
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import task
 
-PERIOD_S = 0.5
-"""Between two reads of an engine. A part is used again after ten seconds or
-so; half a second of not knowing costs one in twenty the better place."""
+READ_PERIOD_S = 0.5
+"""Interval between reads of an engine. A part is reused after about ten
+seconds; with a delay of half a second, one prompt in twenty is placed without
+knowing of it and misses the better engine."""
 
-FAILED_PERIOD_S = 2.0
-"""Between two reads of an engine that does not answer."""
+RETRY_PERIOD_S = 2.0
+"""Interval between reads of an engine that does not answer."""
 
 
 @attrs.frozen(kw_only=True)
 class CacheChanges:
-    """What changed in an engine's cache.
+    """A range of the changes of an engine's cache.
 
     Attributes:
-        epoch: Another one after each start of the engine.
-        end: Where the next changes begin.
+        epoch: Identifies the engine's run; changes with each start.
+        end: Number of the first change after these.
         lost: Whether changes before these are missing.
-        changes: In their order.
+        changes: The changes in their order.
     """
 
     epoch: str
@@ -50,24 +51,24 @@
 
 
 @attrs.define(kw_only=True)
-class _Place:
+class _ReadPosition:
     """How far one engine's changes have been read.
 
     Attributes:
         epoch: The epoch of the last read; None before the first.
-        next: Where the next changes begin.
-        due: When to read next.
-        reading: Whether a read is under way.
+        next: Number of the first change to read.
+        next_read_at: Time of the next read.
+        is_reading: Whether a read is in progress.
     """
 
     epoch: str | None = None
     next: int = 0
-    due: float = 0.0
-    reading: bool = False
+    next_read_at: float = 0.0
+    is_reading: bool = False
 
 
 class CacheWatch:
-    """Reads every engine's changes at a pace."""
+    """Reads every followed engine's changes periodically."""
 
     name = "cachewatch"
     requires = ("timer",)
@@ -81,83 +82,88 @@
         apply: Callable[..., None],
         on_broken: Callable[[str], None],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
             timers: The timer service.
-            engines: Returns the engines that this daemon is to follow.
+            engines: Returns the engines that this daemon follows.
             read: Returns an engine's changes from a number on.
-            apply: Takes an engine, its changes, and `reset`.
-            on_broken: Called with the reason where an invariant is broken.
+            apply: Applies an engine's changes; `reset` tells it to drop the
+                earlier ones first.
+            on_broken: Called with the reason if an invariant is violated.
         """
         self._timers = timers
         self._engines = engines
         self._read = read
         self._apply = apply
         self._on_broken = on_broken
-        self._places: dict[tuple[str, int], _Place] = {}
+        self._positions: dict[tuple[str, int], _ReadPosition] = {}
         self._failures = 0
         self._reads = 0
         self._tick: Any = None
 
     @property
     def counts(self) -> dict[str, int]:
-        """Reads and failed reads since the start."""
+        """Number of reads and of failed reads."""
         return {"reads": self._reads, "failed": self._failures}
 
     async def start(self) -> None:
-        """Begins to read."""
-        self._tick = self._timers.every(PERIOD_S / 2, self._read_due)
+        """Starts reading."""
+        self._tick = self._timers.every(READ_PERIOD_S / 2, self._read_due)
 
     async def stop(self) -> None:
-        """Begins no more reads."""
+        """Starts no more reads."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns how many engines are followed."""
-        return {"engines": len(self._places), **self.counts}
+        """Returns the number of followed engines and the counts."""
+        return {"engines": len(self._positions), **self.counts}
 
     def _read_due(self) -> None:
         engines = {engine.incarnation: engine for engine in self._engines()}
-        for incarnation in list(self._places):
+        for incarnation in list(self._positions):
             if incarnation not in engines:
-                del self._places[incarnation]
+                del self._positions[incarnation]
         for incarnation, engine in engines.items():
-            place = self._places.setdefault(incarnation, _Place())
-            if place.reading or self._timers.now < place.due:
+            position = self._positions.setdefault(incarnation, _ReadPosition())
+            if position.is_reading or self._timers.now < position.next_read_at:
                 continue
-            place.reading = True
+            position.is_reading = True
             task.spawn(
-                self._read_one(engine, place),
+                self._read_one(engine, position),
                 name=self.name,
                 on_broken=self._on_broken,
             )
 
     async def _read_one(
-        self, engine: directory_module.Registration, place: _Place
+        self, engine: directory_module.Registration, position: _ReadPosition
     ) -> None:
         self._reads += 1
-        read = await self._read(engine, place.next)
-        place.reading = False
+        read = await self._read(engine, position.next)
+        position.is_reading = False
 
         if isinstance(read, Failure):
             self._failures += 1
-            place.due = self._timers.now + FAILED_PERIOD_S
+            position.next_read_at = self._timers.now + RETRY_PERIOD_S
             return
         found = read.unwrap()
-        place.due = self._timers.now + PERIOD_S
-        restarted = place.epoch not in (None, found.epoch)
-        if restarted and place.next > 0:
-            # The numbers of the former life say nothing here.
-            place.epoch, place.next, place.due = found.epoch, 0, 0.0
+        position.next_read_at = self._timers.now + READ_PERIOD_S
+        restarted = position.epoch not in (None, found.epoch)
+        if restarted and position.next > 0:
+            # The numbers of the previous run are not valid in this one.
+            position.epoch, position.next, position.next_read_at = (
+                found.epoch,
+                0,
+                0.0,
+            )
             self._apply(engine, (), reset=True)
             return
-        # What was dropped before the first read was seen by whoever followed
-        # the engine before.
-        reset = found.lost and place.epoch is not None
-        place.epoch, place.next = found.epoch, found.end
+        # Changes that the engine dropped before the first read were read and
+        # advertised by the daemon that followed it until now.
+        reset = found.lost and position.epoch is not None
+        position.epoch, position.next = found.epoch, found.end
         self._apply(engine, found.changes, reset=reset)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/enginework.py
@@ -1,4 +1,4 @@
-"""What this daemon has at engines, and what it learns from it."""
+"""Tracks this daemon's work at engines and what it observes there."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -20,32 +20,31 @@
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import placementindex
 
-LIVE_PAUSES = 4.0
-"""Expected pauses after its last event in which an engine counts as one that
-generates. A stream's pauses seldom last twice the expected one; a daemon has
-several streams at an engine that is full, and one that has crashed is found
-out by then."""
+LIVE_PAUSE_FACTOR = 4.0
+"""Number of expected pauses after its last event during which an engine counts
+as streaming. A stream's pauses seldom last twice the expected time, and a
+daemon has several streams at a full engine; a crash is detected by then."""
 
 
-def _note_nothing(*_: Any) -> None:
-    """Takes what nobody follows."""
+def _ignore(*_: Any) -> None:
+    """Does nothing."""
 
 
 @attrs.frozen(kw_only=True)
-class StreamNotes:
-    """What takes note of an answer that is generated.
+class StreamObserver:
+    """Callbacks for the progress of a streamed answer.
 
     Attributes:
-        events: Takes how many events came together.
-        ended: Called when it has ended, any number of times.
+        events: Called with the number of events that arrived together.
+        ended: Called when the answer has ended; may be called repeatedly.
     """
 
-    events: Callable[[int], None] = _note_nothing
-    ended: Callable[[], None] = _note_nothing
+    events: Callable[[int], None] = _ignore
+    ended: Callable[[], None] = _ignore
 
 
 class EngineWork:
-    """Readings and streams at the engines of all services."""
+    """Pending prefills and streams at the engines of all services."""
 
     def __init__(
         self,
@@ -53,35 +52,35 @@
         timers: Any,
         table: Callable[[], routing.RouteTable | None],
         endpoints: directory_module.Directory,
-        others: peerloads.PeerLoads,
+        peers: peerloads.PeerLoads,
         index: placementindex.PlacementIndex,
     ):
-        """Makes a state without work.
+        """Creates the state without work.
 
         Args:
             timers: The timer service.
             table: Returns the routes in force, or None before the first.
-            endpoints: The endpoints that are known.
-            others: What other daemons have at engines.
-            index: Where long readings are reported.
+            endpoints: The known endpoints.
+            peers: Work of other daemons at engines.
+            index: Gets reports of long prefills.
         """
         self._timers = timers
         self._table = table
         self._endpoints = endpoints
-        self._others = others
+        self._peers = peers
         self._index = index
         self._fleets: dict[str, enginefleet.EngineFleet] = {}
 
     @property
     def fleets(self) -> Mapping[str, enginefleet.EngineFleet]:
-        """What is known of engines, by service."""
+        """The state of engines, by service."""
         return self._fleets
 
     def fleet(self, service: str) -> enginefleet.EngineFleet:
-        """Returns what is known of a service's engines."""
+        """Returns the state of a service's engines."""
         fleet = self._fleets.get(service)
         if fleet is None:
-            fleet = enginefleet.EngineFleet(peers=self._others)
+            fleet = enginefleet.EngineFleet(peers=self._peers)
             self._fleets[service] = fleet
         return fleet
 
@@ -92,49 +91,53 @@
         return found.engine if found else None
 
     def shares(self) -> dict[str, peerloads.EngineShare]:
-        """Returns what this daemon has at engines, by id."""
+        """Returns this daemon's work at engines, by the engine's id."""
         shares: dict[str, peerloads.EngineShare] = {}
         for fleet in self._fleets.values():
             shares.update(fleet.shares(self._timers.now))
         return shares
 
     def forget(self, live: Iterable[tuple[str, int]]) -> None:
-        """Drops what is known of engines that are gone and idle."""
+        """Drops the state of engines that are gone and idle."""
         kept = set(live)
         for fleet in self._fleets.values():
             fleet.forget(kept)
 
     def is_streaming(self, engine: directory_module.Registration) -> bool:
-        """Returns whether events of this daemon's streams come from there."""
+        """Returns whether this daemon recently received events of an engine."""
         traits = self.traits(engine.service)
         if traits is None:
             return False
         fleet, now = self.fleet(engine.service), self._timers.now
         pause_s = fleet.estimate_decode_load(engine, traits, now).pause_s
         streams = fleet.load(engine, traits).streams
-        return streams.has_recent_event(now, within_s=LIVE_PAUSES * pause_s)
+        return streams.has_recent_event(
+            now, within_s=LIVE_PAUSE_FACTOR * pause_s
+        )
 
     def describe(
         self, engine: directory_module.Registration
     ) -> dict[str, float | int]:
-        """Returns what is believed of an engine, for a line of the log."""
+        """Returns the estimated state of an engine as fields of a log line."""
         traits = self.traits(engine.service)
         if traits is None:
             return {}
         fleet = self.fleet(engine.service)
-        there = fleet.estimate_decode_load(engine, traits, self._timers.now)
+        decode_load = fleet.estimate_decode_load(
+            engine, traits, self._timers.now
+        )
         return {
-            "streams": there.streams,
-            "tokens": there.tokens,
-            "expected_pause_s": round(there.pause_s, 3),
+            "streams": decode_load.streams,
+            "tokens": decode_load.tokens,
+            "expected_pause_s": round(decode_load.pause_s, 3),
         }
 
-    def take_holder(
+    def apply_holder(
         self,
         holder: prefixindex.PrefixHolder,
         service: str,
     ) -> None:
-        """Takes what the owner of a part knows of a holder."""
+        """Applies an owner's report of an engine that holds a shared part."""
         engine, traits = (
             self._endpoints.find(holder.engine),
             self.traits(service),
@@ -150,7 +153,7 @@
     def is_long_part(
         self, engine: directory_module.Registration, tokens: int
     ) -> bool:
-        """Returns whether a part is worth keeping in one place."""
+        """Returns whether a part is long enough to place prompts by it."""
         traits = self.traits(engine.service)
         return traits is not None and tokens >= traits.long_tokens
 
@@ -161,7 +164,7 @@
         *,
         reset: bool,
     ) -> None:
-        """Takes what an engine says of its cache."""
+        """Applies changes that an engine reports of its cache."""
         traits = self.traits(engine.service)
         if traits is not None:
             load = self.fleet(engine.service).load(engine, traits)
@@ -171,23 +174,23 @@
         self,
         request: inflight.InFlight,
         engine: directory_module.Registration,
-    ) -> StreamNotes:
-        """Notes an answer that an engine is to generate."""
+    ) -> StreamObserver:
+        """Tracks an answer that an engine is to generate."""
         traits = self.traits(request.service)
         if request.plan is None or traits is None:
-            return StreamNotes()
+            return StreamObserver()
         fleet = self.fleet(request.service)
         streams = fleet.load(engine, traits).streams
         prompt_tokens = request.info.prompt.prompt_tokens
         stream = streamload.Stream(prompt_tokens=prompt_tokens)
-        # It takes no slot from others before it runs.
-        lets_others_first = request.urgency == routing.LOWEST_URGENCY
-        if not lets_others_first:
+        # At the lowest urgency it takes no slot from others until it runs.
+        has_lowest_urgency = request.urgency == routing.LOWEST_URGENCY
+        if not has_lowest_urgency:
             streams.begin(stream)
 
-        def note_events(count: int) -> None:
+        def observe_events(count: int) -> None:
             now = self._timers.now
-            if lets_others_first and stream.last_event_at is None:
+            if has_lowest_urgency and stream.last_event_at is None:
                 streams.begin(stream)
             pause_s = streams.record_events(
                 stream, count, event_tokens=traits.event_tokens, now=now
@@ -202,24 +205,25 @@
                     stream.generated_tokens // traits.event_tokens
                 )
 
-        return StreamNotes(events=note_events, ended=ended)
+        return StreamObserver(events=observe_events, ended=ended)
 
-    def note_reading(
+    def begin_work(
         self,
         request: inflight.InFlight,
         engine: directory_module.Registration,
         *,
-        reads: bool,
+        prefills: bool,
     ) -> Callable[[bool], None]:
-        """Notes work at an engine; returns what notes how it ended.
+        """Tracks a prefill or handover; returns a function that ends it.
 
         The returned function takes whether an answer began. Only its first
         call counts.
 
         Args:
             request: The request.
-            engine: Who works on it now.
-            reads: Whether it reads the prompt or takes over what was read.
+            engine: The engine that works on it now.
+            prefills: Whether the engine prefills the prompt or takes over the
+                KV cache of another engine.
         """
         plan, traits = request.plan, self.traits(request.service)
         if plan is None or traits is None:
@@ -227,45 +231,47 @@
         fleet = self.fleet(request.service)
         load = fleet.load(engine, traits)
         prompt = request.info.prompt
-        reading = _make_reading(request, self._timers.now, reads=reads)
-        report_end = self._report_begin(engine, reading, prompt, traits)
-        load.begin(reading)
+        prefill = _make_pending_prefill(
+            request, self._timers.now, prefills=prefills
+        )
+        report_end = self._report_begin(engine, prefill, prompt, traits)
+        load.begin(prefill)
 
         def ended(began: bool) -> None:
             report_end(began)
             now = self._timers.now
             if began:
-                load.answered(reading, engine.stage, now)
-                if reading.tokens >= traits.long_tokens:
-                    fleet.observe_prefill(plan, now - reading.sent_at, now)
+                load.answered(prefill, engine.stage, now)
+                if prefill.tokens >= traits.long_tokens:
+                    fleet.observe_prefill(plan, now - prefill.sent_at, now)
             else:
-                load.dropped(reading, now)
+                load.dropped(prefill, now)
 
         return ended
 
     def _report_begin(
         self,
         engine: directory_module.Registration,
-        reading: engineload.PendingPrefill,
+        prefill: engineload.PendingPrefill,
         prompt: prompt_module.Prompt,
         traits: routing.EngineTraits,
     ) -> Callable[[bool], None]:
-        """Reports a long reading to peers; returns what reports its end."""
-        if reading.tokens < traits.long_tokens:
+        """Reports a long prefill to peers; returns a function that ends it."""
+        if prefill.tokens < traits.long_tokens:
             return lambda began: None
-        # Nothing new is read of parts that it has already.
+        # Shared parts that the engine has in its cache aren't computed again.
         cache = self.fleet(engine.service).load(engine, traits).cache
         is_new = cache.cached_tokens(prompt) < prompt.shared_tokens
-        parts = reading.parts if is_new else ()
-        return self._index.begin(engine.id, reading, parts)
+        parts = prefill.parts if is_new else ()
+        return self._index.begin(engine.id, prefill, parts)
 
 
-def _make_reading(
-    request: inflight.InFlight, now: float, *, reads: bool
+def _make_pending_prefill(
+    request: inflight.InFlight, now: float, *, prefills: bool
 ) -> engineload.PendingPrefill:
     plan, prompt = request.plan, request.info.prompt
     urgency = request.urgency
-    if not reads:
+    if not prefills:
         return engineload.PendingPrefill(
             expected_s=plan.transfer_s,
             sent_at=now,
@@ -274,7 +280,7 @@
             urgency=urgency,
             mode=prefilltimes.PrefillMode.TAKEN_OVER,
         )
-    is_apart = plan.prefill is not None
+    is_disaggregated = plan.prefill is not None
     return engineload.PendingPrefill(
         expected_s=plan.busy_s,
         sent_at=now,
@@ -285,7 +291,7 @@
         urgency=urgency,
         fetch_s=plan.busy_s - plan.prefill_s,
         mode=prefilltimes.PrefillMode.DISAGGREGATED
-        if is_apart
+        if is_disaggregated
         else prefilltimes.PrefillMode.IN_PLACE,
         parts=prompt.shared_parts,
     )
