--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/changerelay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/changerelay.py
@@ -15,18 +15,18 @@
 class ChangeRelay:
     """Changes to send, and those that peers have sent."""
 
-    def __init__(self, *, take: ApplyChanges):
+    def __init__(self, *, apply: ApplyChanges):
         """Makes a state without changes.
 
         Args:
-            take: Takes what a peer saw of an engine's cache.
+            apply: Takes what a peer saw of an engine's cache.
         """
-        self._take = take
+        self._apply = apply
         self._followed: set[str] = set()
-        self._outward = pendingchanges.PendingChanges()
-        self._inward = pendingchanges.PendingChanges()
+        self._for_groups = pendingchanges.PendingChanges()
+        self._for_members = pendingchanges.PendingChanges()
 
-    def follow(self, engines: Iterable[str]) -> None:
+    def set_followed(self, engines: Iterable[str]) -> None:
         """Sets the engines that this daemon follows itself."""
         self._followed = set(engines)
 
@@ -34,37 +34,41 @@
         self, engine: str, changes: tuple[enginecache.CacheChange, ...]
     ) -> None:
         """Has what this daemon saw sent to everybody."""
-        self._outward.add(engine, changes)
-        self._inward.add(engine, changes)
+        self._for_groups.add(engine, changes)
+        self._for_members.add(engine, changes)
 
     def receive(
-        self, kept: gatewaymessages.CacheChanges, *, outward: bool, inward: bool
+        self,
+        kept: gatewaymessages.CacheChanges,
+        *,
+        to_groups: bool,
+        to_members: bool,
     ) -> None:
         """Takes changes from a message, and passes them on.
 
         Args:
             kept: The changes.
-            outward: Whether the other groups do not know of them.
-            inward: Whether this daemon's members do not know of them.
+            to_groups: Whether the other groups do not know of them.
+            to_members: Whether this daemon's members do not know of them.
         """
         for engine, changes in loadcodec.decode_changes(kept):
             # What this daemon said itself comes back, and is older by then.
             if engine not in self._followed:
-                self._take(engine, changes)
+                self._apply(engine, changes)
             # The sender repeats them; each copy is passed on once.
-            if outward:
-                self._outward.add(engine, changes, times=1)
-            if inward:
-                self._inward.add(engine, changes, times=1)
+            if to_groups:
+                self._for_groups.add(engine, changes, send_count=1)
+            if to_members:
+                self._for_members.add(engine, changes, send_count=1)
 
-    def take_outward(self) -> gatewaymessages.CacheChanges:
+    def pop_for_groups(self) -> gatewaymessages.CacheChanges:
         """Returns changes for the other groups, or for who adds up."""
-        return self._outward.take()
+        return self._for_groups.next_batch()
 
-    def take_inward(self) -> gatewaymessages.CacheChanges:
+    def pop_for_members(self) -> gatewaymessages.CacheChanges:
         """Returns changes for this daemon's members."""
-        return self._inward.take()
+        return self._for_members.next_batch()
 
-    def drop_inward(self) -> None:
+    def drop_for_members(self) -> None:
         """Drops the changes for members, where there are none."""
-        self._inward.clear()
+        self._for_members.clear()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleetview.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleetview.py
@@ -23,7 +23,7 @@
         own_name: str,
         hosts: Callable[[], list[str]],
         zone_of: Callable[[str], str | None],
-        is_able: Callable[[], bool] = lambda: True,
+        can_order: Callable[[], bool] = lambda: True,
     ):
         """Makes a view in which nobody else is there.
 
@@ -31,9 +31,9 @@
             own_name: This daemon's name among its peers.
             hosts: Returns the other hosts that have announced themselves.
             zone_of: Returns a host's availability zone, None if not known.
-            is_able: Returns whether this daemon could order.
+            can_order: Returns whether this daemon could order.
         """
-        self._is_able = is_able
+        self._can_order = can_order
         self._own_name = own_name
         self._own_host = fleetmembers.host_of(own_name)
         self._hosts = hosts
@@ -59,9 +59,9 @@
 
     def refresh(self) -> None:
         """Takes in what has changed among those that were heard."""
-        there = [self._own_name, *self._members.present()]
-        if there != self._present:
-            self._present = there
+        present = [self._own_name, *self._members.present()]
+        if present != self._present:
+            self._present = present
             self._owners.clear()
 
     def is_leader_if_able(self) -> bool:
@@ -77,7 +77,7 @@
         """
         unable = self._members.unable_to_order()
         others = [name for name in self._present[1:] if name not in unable]
-        if self._is_able():
+        if self._can_order():
             others.append(self._own_name)
         return min(others, default=self._own_name)
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/follower.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/follower.py
@@ -78,14 +78,14 @@
         self._on_records = on_records
         self._log = log
         self._on_broken = on_broken
-        self._next: int | None = None
+        self._next_offset: int | None = None
         # When the store was asked for what is known now.
         self._as_of: float | None = None
         self._lost_at: float | None = None
         self._regained_at: float | None = None
         self._reads = 0
         self._running: Any = None
-        self._resting: defer.Deferred | None = None
+        self._wakeup: defer.Deferred | None = None
         self._stopping = False
         shared.on_notice = self._handle_notice
         shared.on_queried = self._wake
@@ -135,7 +135,7 @@
     def dump(self) -> dict[str, Any]:
         """Returns how far it has read."""
         return {
-            "next": self._next,
+            "next": self._next_offset,
             "age_s": self.age_s,
             "source": self._shared.source,
             **self.counts,
@@ -143,7 +143,7 @@
 
     async def _run(self) -> None:
         try:
-            await self._read_on()
+            await self._read_loop()
         except defer.CancelledError:
             # A read that ends as cancelled when nobody cancelled it would end
             # the follower without a word, and everything would go on by what
@@ -151,15 +151,15 @@
             if not self._stopping:
                 self._on_broken(f"{self.name}: a read ended as cancelled")
 
-    async def _read_on(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
-            await self._rest(await self._update())
+            await self._sleep(await self._update())
 
     async def _update(self) -> float:
         """Reads what is new; returns the seconds until the next read."""
-        if self._next is None:
-            is_read = await self._read_all()
-            return self._pause_s if is_read else RETRY_S
+        if self._next_offset is None:
+            is_loaded = await self._read_all()
+            return self._pause_s if is_loaded else RETRY_S
         # A host that could not reach the store tries again by itself, so that
         # it knows when it can.
         is_lost = self._lost_at is not None
@@ -168,107 +168,113 @@
                 0.0 if is_lost else self._wait_s * self._shared.interval_factor
             )
             if await self._read_after(wait_s):
-                return self._until_next_read_s(self._pause_s)
-            return self._view_left_s() if await self._take_shared() else RETRY_S
-        if await self._take_shared():
-            return self._view_left_s()
+                return self._time_to_next_read_s(self._pause_s)
+            return (
+                self._remaining_validity_s()
+                if await self._read_relayed()
+                else RETRY_S
+            )
+        if await self._read_relayed():
+            return self._remaining_validity_s()
         # Without a wait: others may relay the next records again.
         if await self._read_after(0.0):
-            return self._until_next_read_s(self._wait_s + self._pause_s)
+            return self._time_to_next_read_s(self._wait_s + self._pause_s)
         return RETRY_S
 
-    def _until_next_read_s(self, pause_s: float) -> float:
+    def _time_to_next_read_s(self, pause_s: float) -> float:
         pause_s *= self._shared.interval_factor
         return self._as_of + pause_s - self._timers.now
 
-    def _view_left_s(self) -> float:
+    def _remaining_validity_s(self) -> float:
         """Returns the seconds in which what was relayed gets too old."""
-        view_s = self._wait_s + self._pause_s
-        return max(MIN_INTERVAL_S, self._as_of + view_s - self._timers.now)
+        max_age_s = self._wait_s + self._pause_s
+        return max(MIN_INTERVAL_S, self._as_of + max_age_s - self._timers.now)
 
-    async def _rest(self, seconds: float) -> None:
+    async def _sleep(self, seconds: float) -> None:
         if seconds <= 0:
             return
-        self._resting = defer.Deferred()
+        self._wakeup = defer.Deferred()
         subscription = self._timers.after(seconds, self._wake)
         try:
-            await self._resting
+            await self._wakeup
         finally:
             subscription.cancel()
-            self._resting = None
+            self._wakeup = None
 
     def _wake(self) -> None:
-        if self._resting is not None and not self._resting.called:
-            self._resting.callback(None)
+        if self._wakeup is not None and not self._wakeup.called:
+            self._wakeup.callback(None)
 
     def _handle_notice(self, end: int) -> None:
-        if self._next is not None and end > self._next:
+        if self._next_offset is not None and end > self._next_offset:
             self._wake()
 
-    async def _take_shared(self) -> bool:
+    async def _read_relayed(self) -> bool:
         """Takes what another host hands on; returns whether that is all."""
         for _ in range(MAX_BATCHES):
-            if self._next is None:
+            if self._next_offset is None:
                 return False
-            relayed = await self._shared.query(self._next)
+            relayed = await self._shared.query(self._next_offset)
             if relayed is None:
                 return False
             if not relayed.has_more:
                 self._as_of = max(self._as_of, relayed.as_of)
-            self._note_regained(relayed.regained_at)
-            self._take(relayed.records, max(self._next, relayed.end))
+            self._update_regained_at(relayed.regained_at)
+            self._apply(relayed.records, max(self._next_offset, relayed.end))
             if not relayed.has_more:
                 return True
         return False
 
     async def _read_all(self) -> bool:
-        began = self._count_read()
+        began_at = self._begin_read()
         read = await self._reader.read_all()
         if isinstance(read, Failure):
-            return self._note_failure(read.failure())
+            return self._record_failure(read.failure())
         listing = read.unwrap()
-        self._note_success(began)
-        self._next = listing.end
+        self._record_success(began_at)
+        self._next_offset = listing.end
         self._shared.restart(listing)
         self._on_all(listing.records)
         return True
 
     async def _read_after(self, wait_s: float) -> bool:
-        began = self._count_read()
-        read = await self._reader.read_after(self._next, wait_s)
+        began_at = self._begin_read()
+        read = await self._reader.read_after(self._next_offset, wait_s)
         if isinstance(read, Failure):
-            return self._note_failure(read.failure())
+            return self._record_failure(read.failure())
         batch = read.unwrap()
         # A read that waits returns at once with a record, so that one which
         # brings none shows that there was none until its wait was over.
-        is_waited_out = self._timers.now - began >= wait_s
-        is_empty = not batch.records and batch.end == self._next
-        as_of = began + wait_s if is_empty and is_waited_out else began
-        self._note_success(as_of)
-        self._take(batch.records, batch.end)
+        waited_in_full = self._timers.now - began_at >= wait_s
+        is_empty = not batch.records and batch.end == self._next_offset
+        as_of = began_at + wait_s if is_empty and waited_in_full else began_at
+        self._record_success(as_of)
+        self._apply(batch.records, batch.end)
         return True
 
-    def _take(
+    def _apply(
         self, records: tuple[topicreader.KeyedRecord, ...], end: int
     ) -> None:
-        self._next = end
+        self._next_offset = end
         self._shared.extend(
             records, end, as_of=self._as_of, regained_at=self._regained_at
         )
         self._on_records(records)
 
-    def _count_read(self) -> float:
+    def _begin_read(self) -> float:
         self._reads += 1
         return self._timers.now
 
-    def _note_failure(
+    def _record_failure(
         self, failure: topicreader.StoreUnavailable | topicreader.RecordsDropped
     ) -> bool:
         if isinstance(failure, topicreader.RecordsDropped):
             self._log.note(
-                "topic_read_again", follower=self.name, dropped_at=self._next
+                "topic_read_again",
+                follower=self.name,
+                dropped_at=self._next_offset,
             )
-            self._next = None
+            self._next_offset = None
             return False
         if self._lost_at is None:
             self._lost_at = self._timers.now
@@ -281,7 +287,7 @@
             )
         return False
 
-    def _note_success(self, as_of: float) -> None:
+    def _record_success(self, as_of: float) -> None:
         self._as_of = as_of
         if self._lost_at is not None:
             self._log.note(
@@ -293,7 +299,7 @@
             self._lost_at = None
             self._regained_at = self._timers.now
 
-    def _note_regained(self, at: float | None) -> None:
+    def _update_regained_at(self, at: float | None) -> None:
         """Takes when the host that relays records had the store back."""
         if at is not None and at > (self._regained_at or 0.0):
             self._regained_at = at
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadcodec.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadcodec.py
@@ -32,10 +32,10 @@
     if len(shares) <= MAX_ENGINES:
         return shares.items()
 
-    def rate(item: tuple[str, peerloads.EngineShare]) -> tuple[float, int]:
+    def rank(item: tuple[str, peerloads.EngineShare]) -> tuple[float, int]:
         return sum(item[1].queued_s.values()), item[1].tokens
 
-    return heapq.nlargest(MAX_ENGINES, shares.items(), key=rate)
+    return heapq.nlargest(MAX_ENGINES, shares.items(), key=rank)
 
 
 def decode_shares(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
@@ -99,7 +99,7 @@
         self._loads = loads
         self._read_own = read_own
         self._may_order = may_order
-        self._changes = changerelay.ChangeRelay(take=apply_changes)
+        self._changes = changerelay.ChangeRelay(apply=apply_changes)
         self._messages = loadmessages.LoadMessages(
             own_name=own_name, changes=self._changes, may_order=may_order
         )
@@ -109,29 +109,29 @@
             own_name=own_name,
             hosts=lambda: link.hosts,
             zone_of=link.zone_of,
-            is_able=may_order,
+            can_order=may_order,
         )
         self._members = self._fleet.members
-        self._groups = peeraggregators.PeerAggregators(
+        self._aggregators = peeraggregators.PeerAggregators(
             own_name=own_name, fleet=self._fleet
         )
-        self._choice = aggregatorchoice.AggregatorChoice(
+        self._aggregator_choice = aggregatorchoice.AggregatorChoice(
             own_host=self._own_host
         )
         # When a sum of all was last heard, or this daemon added up itself.
         self._sum_at = -math.inf
         # Since when it adds up.
-        self._adds_up_since = -math.inf
+        self._aggregating_since = -math.inf
         self._lists = grouplists.GroupLists(
             timers=timers,
             own_name=own_name,
             members=self._members,
             send_datagram=link.send_datagram,
-            most_per_s=LISTS_FRACTION * MAX_MESSAGES_PER_S,
+            max_lists_per_s=LISTS_FRACTION * MAX_MESSAGES_PER_S,
         )
         # Of the longest message of the last round.
-        self._sum_bytes = 0
-        self._number = 0
+        self._message_bytes = 0
+        self._round = 0
         self._tick: Any = None
 
     @property
@@ -153,24 +153,24 @@
         now = self._timers.now
         return {
             "there": len(self._fleet.present),
-            "aggregator": self._choice.chosen,
+            "aggregator": self._aggregator_choice.chosen,
             "members": sorted(self._loads.member_numbers(now)),
-            "groups": sorted(self._groups.names),
+            "groups": sorted(self._aggregators.names),
             "period_s": self._period_s(),
-            "rounds": self._number,
+            "rounds": self._round,
         }
 
     def receive(self, message: Any) -> None:
         """Takes a peer's message."""
         match message:
             case gatewaymessages.Load():
-                self._take_load(message)
+                self._handle_load(message)
             case gatewaymessages.GroupLoad():
-                self._take_group(message)
+                self._handle_group(message)
             case gatewaymessages.FleetLoad():
-                self._take_fleet(message)
+                self._handle_fleet(message)
             case gatewaymessages.GroupMembers():
-                self._take_list(message)
+                self._handle_list(message)
             case _:
                 self._handle_other(message)
 
@@ -197,7 +197,7 @@
             for engine in engines
             if self._fleet.find_owners(engine)[0] == self._own_name
         }
-        self._changes.follow(followed)
+        self._changes.set_followed(followed)
         return followed
 
     def present_peers(self) -> list[str]:
@@ -216,38 +216,38 @@
 
     def _exchange(self) -> None:
         now = self._timers.now
-        self._number += 1
+        self._round += 1
         period_s = self._period_s()
         silent_s = max(MIN_SILENCE_S, MAX_MISSED_MESSAGES * period_s)
         self._loads.stale_s = max(
             peerloads.MIN_STALE_S, MAX_MISSED_MESSAGES * period_s
         )
-        self._forget(now, silent_s)
+        self._expire(now, silent_s)
         own = self._read_own()
         self._choose_aggregator(now, MAX_MISSED_MESSAGES * period_s)
-        if self._choice.chosen is not None:
+        if self._aggregator_choice.chosen is not None:
             self._send_load(own)
         else:
             self._sum_at = now
             self._loads.clear_fleet()
             self._send_sums(own, now)
-            if now - self._adds_up_since >= silent_s:
-                kept = {self._own_name, *self._groups.names}
-                self._lists.take_back(kept, self._loads.member_numbers(now))
+            if now - self._aggregating_since >= silent_s:
+                active = {self._own_name, *self._aggregators.names}
+                self._lists.withdraw(active, self._loads.member_numbers(now))
         self._tick = self._timers.after(period_s, self._exchange)
 
-    def _forget(self, now: float, silent_s: float) -> None:
+    def _expire(self, now: float, silent_s: float) -> None:
         self._loads.forget(now)
         self._members.forget(
             now,
             silent_s=silent_s,
             list_silent_s=LIST_TTL_S,
         )
-        self._groups.forget(now, silent_s)
+        self._aggregators.forget(now, silent_s)
         # Lists come by way of who adds up; one and the next were silent.
         if now - self._sum_at >= 2 * silent_s:
             self._members.drop_lists()
-        self._lists.forget()
+        self._lists.drop_expired()
         self._fleet.refresh()
 
     def _period_s(self) -> float:
@@ -257,7 +257,7 @@
         return max(
             PERIOD_S,
             receivers / MAX_MESSAGES_PER_S,
-            receivers * self._sum_bytes / MAX_BYTES_PER_S,
+            receivers * self._message_bytes / MAX_BYTES_PER_S,
         )
 
     def _is_small(self) -> bool:
@@ -267,22 +267,22 @@
     # Who adds up.
 
     def _choose_aggregator(self, now: float, silent_s: float) -> None:
-        silent = self._choice.drop_silent(now, silent_s)
+        silent = self._aggregator_choice.drop_silent(now, silent_s)
         for name in self._fleet.present:
             if fleetmembers.host_of(name) == silent:
                 self._members.exclude(name, now + aggregatorchoice.AVOID_S)
-        before = self._choice.chosen
+        before = self._aggregator_choice.chosen
         ranked = [self._own_host]
         # Others rely on who has members; it goes on for as long as they do.
         if not self._is_small() and not self._loads.member_numbers(now):
             ranked = self._fleet.rank_aggregators(self._fleet.own_zone)
-        if not self._choice.choose(ranked, now):
+        if not self._aggregator_choice.choose(ranked, now):
             return
-        if self._choice.chosen is None:
-            self._adds_up_since = now
+        if self._aggregator_choice.chosen is None:
+            self._aggregating_since = now
         self._log.note(
             "load_aggregator_changed",
-            aggregator=self._choice.chosen or self._own_host,
+            aggregator=self._aggregator_choice.chosen or self._own_host,
             before=before or self._own_host,
             there=len(self._fleet.present),
         )
@@ -290,21 +290,21 @@
     # What is sent.
 
     def _send_load(self, own: peerloads.Shares) -> None:
-        self._loads.record_own(self._number, own)
-        message = self._messages.make_load(self._number, own)
+        self._loads.record_own(self._round, own)
+        message = self._messages.make_load(self._round, own)
         self._link.send_datagram(
-            [self._choice.chosen], gatewaymessages.serialize(message)
+            [self._aggregator_choice.chosen], gatewaymessages.serialize(message)
         )
 
     def _send_sums(self, own: peerloads.Shares, now: float) -> None:
         group = self._loads.group_sum(own, now)
-        message = self._messages.make_group_load(self._number, group)
+        message = self._messages.make_group_load(self._round, group)
         self._link.send_datagram(
             self._group_hosts(), gatewaymessages.serialize(message)
         )
         members = self._loads.member_numbers(now)
         if not members:
-            self._changes.drop_inward()
+            self._changes.drop_for_members()
             return
         fleet = peerloads.sum_shares([group, *self._loads.other_groups(now)])
         self._send_fleet(members, fleet)
@@ -313,11 +313,11 @@
     def _send_fleet(
         self, members: dict[str, int], fleet: peerloads.Shares
     ) -> None:
-        message = self._messages.make_fleet_load(self._number, fleet)
+        message = self._messages.make_fleet_load(self._round, fleet)
         for name, number in members.items():
             message.your_number = number
             datagram = gatewaymessages.serialize(message)
-            self._sum_bytes = len(datagram)
+            self._message_bytes = len(datagram)
             self._link.send_datagram([fleetmembers.host_of(name)], datagram)
 
     def _send_list(self, members: dict[str, int]) -> None:
@@ -328,66 +328,70 @@
         self._lists.send_own(
             [self._own_name, *members],
             unable,
-            number=self._number,
+            number=self._round,
             hosts=hosts + self._group_hosts(),
         )
 
     def _group_hosts(self) -> list[str]:
         if self._is_small():
             return self._link.hosts
-        return self._groups.find_hosts(self._number)
+        return self._aggregators.find_hosts(self._round)
 
     # What is heard.
 
-    def _take_load(self, message: gatewaymessages.Load) -> None:
+    def _handle_load(self, message: gatewaymessages.Load) -> None:
         now, name = self._timers.now, message.peer
         is_new = name not in self._loads.member_numbers(now)
-        if not self._hear(name, message.may_order):
+        if not self._observe_peer(name, message.may_order):
             return
         shares = loadcodec.decode_shares(message.engines)
         if not self._loads.update_member(name, message.number, shares, now):
             return
-        self._changes.receive(message.kept, outward=True, inward=True)
+        self._changes.receive(message.kept, to_groups=True, to_members=True)
         if is_new:
             # It learns at once who is there in the other groups.
-            self._lists.send_known(name)
+            self._lists.send_others(name)
 
-    def _take_group(self, message: gatewaymessages.GroupLoad) -> None:
+    def _handle_group(self, message: gatewaymessages.GroupLoad) -> None:
         now, name = self._timers.now, message.peer
-        if not self._hear(name, message.may_order):
+        if not self._observe_peer(name, message.may_order):
             return
-        if self._choice.chosen is not None and not message.is_passed_on:
+        if (
+            self._aggregator_choice.chosen is not None
+            and not message.is_passed_on
+        ):
             message.is_passed_on = True
             self._link.send_datagram(
-                [self._choice.chosen], gatewaymessages.serialize(message)
+                [self._aggregator_choice.chosen],
+                gatewaymessages.serialize(message),
             )
-        self._groups.hear(name, now)
+        self._aggregators.observe(name, now)
         shares = loadcodec.decode_shares(message.engines)
         if not self._loads.update_group(name, message.number, shares, now):
             return
-        self._changes.receive(message.kept, outward=False, inward=True)
+        self._changes.receive(message.kept, to_groups=False, to_members=True)
 
-    def _take_fleet(self, message: gatewaymessages.FleetLoad) -> None:
+    def _handle_fleet(self, message: gatewaymessages.FleetLoad) -> None:
         now = self._timers.now
-        if not self._choice.observe_sum(
+        if not self._aggregator_choice.observe_sum(
             fleetmembers.host_of(message.peer), now
         ):
             return
-        self._hear(message.peer, None)
+        self._observe_peer(message.peer, None)
         self._sum_at = now
         shares = loadcodec.decode_shares(message.engines)
         self._loads.update_fleet(
             message.your_number, message.number, shares, now
         )
-        self._changes.receive(message.kept, outward=False, inward=False)
+        self._changes.receive(message.kept, to_groups=False, to_members=False)
 
-    def _take_list(self, message: gatewaymessages.GroupMembers) -> None:
+    def _handle_list(self, message: gatewaymessages.GroupMembers) -> None:
         members = self._loads.member_numbers(self._timers.now)
         is_own = message.peer in members or message.peer == self._own_name
-        self._lists.take(message, () if is_own else members)
+        self._lists.handle_list(message, () if is_own else members)
         self._fleet.refresh()
 
-    def _hear(self, name: str, may_order: bool | None) -> bool:
+    def _observe_peer(self, name: str, may_order: bool | None) -> bool:
         """Notes a daemon that was heard; returns whether it is another one."""
         host = fleetmembers.host_of(name)
         if host == self._own_host:
@@ -395,7 +399,7 @@
         for known in self._members.drop_earlier_starts(name):
             # A host that was restarted is not there under its old name.
             self._loads.drop(known)
-            self._groups.drop(known)
+            self._aggregators.drop(known)
         self._members.observe_message(name, self._timers.now)
         if may_order is not None:
             self._members.observe_ability(name, may_order)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadmessages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadmessages.py
@@ -34,12 +34,12 @@
         self, number: int, own: peerloads.Shares
     ) -> gatewaymessages.Load:
         """Returns what this daemon has, for the one that adds up."""
-        self._changes.drop_inward()
+        self._changes.drop_for_members()
         return gatewaymessages.Load(
             peer=self._own_name,
             number=number,
             engines=loadcodec.encode_shares(own),
-            kept=self._changes.take_outward(),
+            kept=self._changes.pop_for_groups(),
             may_order=self._may_order(),
         )
 
@@ -51,7 +51,7 @@
             peer=self._own_name,
             number=number,
             engines=loadcodec.encode_shares(group),
-            kept=self._changes.take_outward(),
+            kept=self._changes.pop_for_groups(),
             may_order=self._may_order(),
         )
 
@@ -64,5 +64,5 @@
             number=number,
             your_number=0,
             engines=loadcodec.encode_shares(fleet),
-            kept=self._changes.take_inward(),
+            kept=self._changes.pop_for_members(),
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peeraggregators.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peeraggregators.py
@@ -16,25 +16,27 @@
         """
         self._own_host = fleetmembers.host_of(own_name)
         self._fleet = fleet
-        self._heard: dict[str, float] = {}
+        self._last_heard_at: dict[str, float] = {}
 
     @property
     def names(self) -> set[str]:
         """The daemons that add up for the other groups."""
-        return set(self._heard)
+        return set(self._last_heard_at)
 
-    def hear(self, name: str, now: float) -> None:
+    def observe(self, name: str, now: float) -> None:
         """Notes that a daemon adds up."""
-        self._heard[name] = now
+        self._last_heard_at[name] = now
 
     def drop(self, name: str) -> None:
         """Forgets a daemon that is known to be gone."""
-        self._heard.pop(name, None)
+        self._last_heard_at.pop(name, None)
 
     def forget(self, now: float, silent_s: float) -> None:
         """Drops daemons that were silent for so long."""
-        self._heard = {
-            name: at for name, at in self._heard.items() if now - at < silent_s
+        self._last_heard_at = {
+            name: at
+            for name, at in self._last_heard_at.items()
+            if now - at < silent_s
         }
 
     def find_hosts(self, turn: int) -> list[str]:
@@ -47,14 +49,14 @@
             turn: Grows from each time to the next; hosts that may be gone
                 take turns.
         """
-        hosts = {fleetmembers.host_of(name) for name in self._heard}
+        hosts = {fleetmembers.host_of(name) for name in self._last_heard_at}
         hosts.add(self._fleet.rank_aggregators(self._fleet.own_zone)[0])
         # One that was cut off may be back and add up for itself, unheard.
-        hosts |= _pick(self._fleet.unheard_in_zone(), turn)
+        hosts |= _pick_by_turn(self._fleet.unheard_in_zone(), turn)
         for zone in self._fleet.other_zones(hosts):
-            hosts |= _pick(self._fleet.rank_aggregators(zone), turn)
+            hosts |= _pick_by_turn(self._fleet.rank_aggregators(zone), turn)
         return sorted(hosts - {self._own_host})
 
 
-def _pick(hosts: list[str], turn: int) -> set[str]:
+def _pick_by_turn(hosts: list[str], turn: int) -> set[str]:
     return {hosts[turn % len(hosts)]} if hosts else set()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerlink.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerlink.py
@@ -163,7 +163,7 @@
             if record.value is None:
                 self._peers.pop(record.key, None)
                 continue
-            found = _read_announcement(record.value)
+            found = _decode_announcement(record.value)
             if found is None:
                 self._unreadable += 1
                 self._log.note("record_unreadable", key=record.key)
@@ -198,15 +198,15 @@
         """Sends a datagram to hosts; returns whether all are known."""
         if self.transport is None:
             return False
-        are_known = True
+        all_known = True
         for host in hosts:
             peer = self._peers.get(host)
             if peer is None:
-                are_known = False
+                all_known = False
                 continue
             self._sent += 1
             self.transport.write(datagram, peer.address)
-        return are_known
+        return all_known
 
     def broadcast(self, message: gatewaymessages.Message) -> None:
         """Sends a message to all known peers, and once more a moment later.
@@ -234,7 +234,7 @@
             await self._timers.sleep(ANNOUNCE_RETRY_S)
 
 
-def _read_announcement(value: bytes) -> _Peer | None:
+def _decode_announcement(value: bytes) -> _Peer | None:
     try:
         found = _announcement_decoder.decode(value)
         host, _, port = found.address.rpartition(":")
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerqueries.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerqueries.py
@@ -28,7 +28,7 @@
 """Returns a question with its number."""
 
 
-class _Open:
+class _PendingQuery:
     """Questions of one moment whose replies are still coming."""
 
     def __init__(self):
@@ -36,7 +36,7 @@
         self.replies: list[Reply] = []
         self.done: defer.Deferred = defer.Deferred()
 
-    def take(self, reply: Reply) -> None:
+    def add(self, reply: Reply) -> None:
         if reply.peer in self.missing:
             self.missing.discard(reply.peer)
             self.replies.append(reply)
@@ -69,7 +69,7 @@
         self._timers = timers
         self._send = send
         self._timeout_s = timeout_s
-        self._open: dict[int, _Open] = {}
+        self._pending: dict[int, _PendingQuery] = {}
         self._numbers = itertools.count(1)
         self._counts = {"queries": 0, "late_replies": 0}
 
@@ -85,31 +85,31 @@
             queries: One a peer.
         """
         number = next(self._numbers)
-        opened = self._open[number] = _Open()
-        limit = None
+        pending = self._pending[number] = _PendingQuery()
+        timer = None
         try:
-            opened.missing = set(queries)
-            for peer, make in queries.items():
-                if not self._send(peer, make(number)):
-                    opened.missing.discard(peer)
-            if opened.missing:
+            pending.missing = set(queries)
+            for peer, make_query in queries.items():
+                if not self._send(peer, make_query(number)):
+                    pending.missing.discard(peer)
+            if pending.missing:
                 self._counts["queries"] += 1
-                limit = self._timers.after(
-                    self._timeout_s, lambda: self._give_up(opened)
+                timer = self._timers.after(
+                    self._timeout_s, lambda: self._time_out(pending)
                 )
-                await opened.done
-            return opened.replies
+                await pending.done
+            return pending.replies
         finally:
-            if limit is not None:
-                limit.cancel()
-            del self._open[number]
+            if timer is not None:
+                timer.cancel()
+            del self._pending[number]
 
     def handle_reply(self, reply: Reply) -> None:
         """Takes a reply; one that comes too late says nothing any more."""
-        opened = self._open.get(reply.number)
-        if opened is not None:
-            opened.take(reply)
+        pending = self._pending.get(reply.number)
+        if pending is not None:
+            pending.add(reply)
 
-    def _give_up(self, opened: _Open) -> None:
+    def _time_out(self, pending: _PendingQuery) -> None:
         self._counts["late_replies"] += 1
-        opened.finish()
+        pending.finish()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/pendingchanges.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/pendingchanges.py
@@ -20,7 +20,7 @@
 @attrs.define(kw_only=True)
 class _Pending:
     tokens: int
-    times_left: int
+    sends_left: int
 
 
 class PendingChanges:
@@ -34,32 +34,32 @@
         engine: str,
         changes: tuple[enginecache.CacheChange, ...],
         *,
-        times: int = SEND_COUNT,
+        send_count: int = SEND_COUNT,
     ) -> None:
         """Has changes sent.
 
         Args:
             engine: The engine's id.
             changes: What changed in its cache.
-            times: Messages that each is to be in.
+            send_count: Messages that each is to be in.
         """
         for change in changes:
             # What was to be sent of the part before is no longer so.
             self._pending.pop((engine, change.part), None)
             self._pending[engine, change.part] = _Pending(
-                tokens=change.tokens, times_left=times
+                tokens=change.tokens, sends_left=send_count
             )
 
-    def take(self) -> CacheChanges:
+    def next_batch(self) -> CacheChanges:
         """Returns the changes for a message, the oldest first."""
         kept: CacheChanges = {}
         for key, change in list(self._pending.items())[:MAX_CHANGES]:
             engine, part = key
             kept.setdefault(engine, []).append((part, change.tokens))
-            change.times_left -= 1
+            change.sends_left -= 1
             # Behind all that was not sent yet.
             del self._pending[key]
-            if change.times_left:
+            if change.sends_left:
                 self._pending[key] = change
         return kept
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/sharedtopic.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/sharedtopic.py
@@ -88,7 +88,7 @@
         *,
         topic: str,
         own_name: str,
-        view_s: float,
+        max_age_s: float,
         extract_state: topicjournal.ExtractState,
         rank_hosts: Callable[[str], list[str]],
         must_read: Callable[[], bool],
@@ -102,7 +102,7 @@
         Args:
             topic: The topic's name among the hosts.
             own_name: This daemon's name among its peers.
-            view_s: How old a view may become.
+            max_age_s: How old a view may become.
             extract_state: Tells records that say the same.
             rank_hosts: Returns the daemons of this zone that are there, this
                 one included, in the order in which they are queried.
@@ -116,7 +116,7 @@
         """
         self._topic = topic
         self._own_name = own_name
-        self._view_s = view_s
+        self._max_age_s = max_age_s
         self._rank_hosts = rank_hosts
         self._must_read = must_read
         self._send = send
@@ -133,7 +133,7 @@
         self._queried_at = -math.inf
         self._avoided: dict[str, float] = {}
         self._failures: dict[str, int] = {}
-        self._relayed = 0
+        self._relayed_batches = 0
         self._source: str | None = None
         self.on_notice: Callable[[int], None] = lambda end: None
         self.on_queried: Callable[[], None] = lambda: None
@@ -141,14 +141,14 @@
     @property
     def reads_store(self) -> bool:
         """Whether this host is to read the store."""
-        if self._serves or self._must_read():
+        if self._is_serving or self._must_read():
             return True
         return self._rank_hosts(self._topic)[0] == self._own_name
 
     @property
     def interval_factor(self) -> float:
         """What the pause between two reads of the store is multiplied by."""
-        return SOURCE_INTERVAL_FACTOR if self._serves else 1.0
+        return SOURCE_INTERVAL_FACTOR if self._is_serving else 1.0
 
     @property
     def source(self) -> str | None:
@@ -160,15 +160,15 @@
         """Batches taken from other hosts, and queries in vain."""
         counts = self._queries.counts
         return {
-            "relayed": self._relayed,
+            "relayed": self._relayed_batches,
             "peer_queries": counts["queries"],
             "peer_silent": counts["late_replies"],
         }
 
     @property
-    def _serves(self) -> bool:
+    def _is_serving(self) -> bool:
         age_s = self._timers.now - self._queried_at
-        return age_s < SERVING_PERIODS * self._view_s
+        return age_s < SERVING_PERIODS * self._max_age_s
 
     def restart(self, listing: topicreader.Listing) -> None:
         """Takes the whole list, as this host read it."""
@@ -192,8 +192,8 @@
         """
         self._as_of = as_of
         self._regained_at = regained_at
-        if self._journal.extend(records, end) and self._serves:
-            self._give_notice(end)
+        if self._journal.extend(records, end) and self._is_serving:
+            self._send_notice(end)
 
     async def query(self, offset: int) -> RelayedRecords | None:
         """Returns what another host of the zone has from an offset on.
@@ -202,7 +202,7 @@
         """
         source = self._pick_source()
         if source is None:
-            self._note_source(None)
+            self._set_source(None)
             return None
         queried_at = self._timers.now
         query = functools.partial(
@@ -213,20 +213,20 @@
         )
         replies = await self._queries.query({source: query})
         if not replies or not self._is_fresh(replies[0], queried_at):
-            self._note_failure(source)
+            self._record_failure(source)
             return None
         self._failures.pop(source, None)
         reply = replies[0]
         # What comes next is not kept there, or does not fit a datagram.
         if reply.has_more and reply.end <= offset:
             return None
-        self._relayed += 1
-        self._note_source(source)
-        return _read_reply(reply, queried_at)
+        self._relayed_batches += 1
+        self._set_source(source)
+        return _decode_reply(reply, queried_at)
 
     def handle_query(self, query: gatewaymessages.RecordQuery) -> None:
         """Replies with what this host has."""
-        now, served = self._timers.now, self._serves
+        now, served = self._timers.now, self._is_serving
         self._queried_at = now
         if not served:
             # What it has may last for itself, but is old for others.
@@ -263,7 +263,7 @@
         self, reply: gatewaymessages.RecordReply, queried_at: float
     ) -> bool:
         age_s = self._timers.now - queried_at + reply.age_ms / 1000
-        return age_s <= MAX_AGE_FRACTION * self._view_s
+        return age_s <= MAX_AGE_FRACTION * self._max_age_s
 
     def _pick_source(self) -> str | None:
         now = self._timers.now
@@ -273,8 +273,8 @@
                 return name
         return None
 
-    def _note_failure(self, source: str) -> None:
-        self._note_source(None)
+    def _record_failure(self, source: str) -> None:
+        self._set_source(None)
         failures = self._failures[source] = self._failures.get(source, 0) + 1
         if failures < MAX_FAILURES:
             return
@@ -289,7 +289,7 @@
             avoid_s=AVOID_S,
         )
 
-    def _note_source(self, source: str | None) -> None:
+    def _set_source(self, source: str | None) -> None:
         if source == self._source:
             return
         self._log.note(
@@ -300,7 +300,7 @@
         )
         self._source = source
 
-    def _give_notice(self, end: int) -> None:
+    def _send_notice(self, end: int) -> None:
         notice = gatewaymessages.RecordNotice(topic=self._topic, end=end)
 
         def send() -> None:
@@ -312,7 +312,7 @@
         self._timers.after(REPEAT_NOTICE_S, send)
 
 
-def _read_reply(
+def _decode_reply(
     reply: gatewaymessages.RecordReply, queried_at: float
 ) -> RelayedRecords:
     regained_at = None
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/storetopics.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/storetopics.py
@@ -75,8 +75,8 @@
         shared = self._shared[name] = sharedtopic.SharedTopic(
             topic=name,
             own_name=self._own_name,
-            view_s=wait_s + pause_s,
-            extract_state=extract_state or _read_value,
+            max_age_s=wait_s + pause_s,
+            extract_state=extract_state or _extract_value,
             keeps_records=keeps_records,
             rank_hosts=self._rank_hosts,
             must_read=must_read,
@@ -116,6 +116,6 @@
                 shared.handle_notice(message)
 
 
-def _read_value(record: topicreader.KeyedRecord) -> topicjournal.RecordState:
+def _extract_value(record: topicreader.KeyedRecord) -> topicjournal.RecordState:
     """Returns what a record of a topic without heartbeats says."""
     return topicjournal.RecordState(content=record.value)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/storeview.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/storeview.py
@@ -84,13 +84,13 @@
         for record in records:
             decoded = self._decode_configuration(record)
             if isinstance(decoded, Failure):
-                self._note_unreadable(record, decoded.failure())
+                self._count_unreadable(record, decoded.failure())
                 continue
             found = decoded.unwrap()
             if found is not None:
-                self._put_in_force(found)
+                self._activate(found)
 
-    def _put_in_force(self, found: routing.Configuration) -> None:
+    def _activate(self, found: routing.Configuration) -> None:
         before = self._table.configuration.version if self._table else None
         # Records may be read again after a gap; a version never goes back.
         if before is not None and found.version <= before:
@@ -121,18 +121,18 @@
     ) -> None:
         """Takes records of the endpoints' topic in their order."""
         now = self._timers.now
-        trusted_until = self._lapsed_until()
+        trusted_until = self._lapses_trusted_until()
         for record in records:
             if record.value is None:
                 change = self._endpoints.remove(
                     record.key, now=now, trusted_until=trusted_until
                 )
-                self._note_change(change)
+                self._log_change(change)
                 continue
             registration = self._decode_registration(record)
             if registration is not None:
-                self._note_change(self._endpoints.put(registration, now=now))
-        self._forget()
+                self._log_change(self._endpoints.put(registration, now=now))
+        self._expire()
 
     def replace_endpoints(
         self, records: tuple[topicreader.KeyedRecord, ...]
@@ -141,13 +141,15 @@
         decoded = [self._decode_registration(r) for r in records if r.value]
         found = [r for r in decoded if r is not None]
         changes = self._endpoints.replace(
-            found, now=self._timers.now, trusted_until=self._lapsed_until()
+            found,
+            now=self._timers.now,
+            trusted_until=self._lapses_trusted_until(),
         )
         for change in changes:
-            self._note_change(change)
-        self._forget()
+            self._log_change(change)
+        self._expire()
 
-    def _lapsed_until(self) -> float:
+    def _lapses_trusted_until(self) -> float:
         """Returns until when a record that goes now may just have lapsed."""
         regained_at = self._regained_at()
         return (
@@ -159,11 +161,11 @@
     ) -> directory_module.Registration | None:
         decoded = self._decode_endpoint(record)
         if isinstance(decoded, Failure):
-            self._note_unreadable(record, decoded.failure())
+            self._count_unreadable(record, decoded.failure())
             return None
         return decoded.unwrap()
 
-    def _note_unreadable(
+    def _count_unreadable(
         self, record: topicreader.KeyedRecord, failure: Any
     ) -> None:
         self._unreadable += 1
@@ -171,7 +173,7 @@
             "record_unreadable", key=record.key, reason=failure.reason
         )
 
-    def _note_change(self, change: directory_module.Change | None) -> None:
+    def _log_change(self, change: directory_module.Change | None) -> None:
         if change is None:
             return
         current = change.current
@@ -185,6 +187,6 @@
             stage=current.stage.value if current and current.stage else None,
         )
 
-    def _forget(self) -> None:
+    def _expire(self) -> None:
         self._endpoints.forget(now=self._timers.now, after_s=REMOVED_TTL_S)
         self._on_changed()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/streamwatchdog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/streamwatchdog.py
@@ -7,14 +7,14 @@
 # An attempt that is silent is given up early enough that another engine can
 # still do the rest: half of the time that is left, and never sooner than an
 # engine under ordinary load may take.
-SILENCE_PART = 0.5
-FIRST_MIN_S = 1.0
-FIRST_FACTOR = 4.0
-BETWEEN_MIN_S = 1.0
-BETWEEN_FACTOR = 20.0
+REMAINING_TIME_FRACTION = 0.5
+FIRST_TOKEN_MIN_S = 1.0
+FIRST_TOKEN_FACTOR = 4.0
+TOKEN_GAP_MIN_S = 1.0
+TOKEN_GAP_FACTOR = 20.0
 RECHECK_MIN_S = 0.01
 # A look that comes this much late means that this process stood still.
-OWN_PAUSE_S = 0.5
+PROCESS_PAUSE_S = 0.5
 
 
 def first_token_timeout_s(first_token_s: float, left_s: float) -> float:
@@ -24,8 +24,8 @@
         first_token_s: Predicted seconds until the first token.
         left_s: Seconds until the whole answer is due.
     """
-    usual_s = max(FIRST_MIN_S, FIRST_FACTOR * first_token_s)
-    return min(usual_s, left_s * SILENCE_PART)
+    tolerated_s = max(FIRST_TOKEN_MIN_S, FIRST_TOKEN_FACTOR * first_token_s)
+    return min(tolerated_s, left_s * REMAINING_TIME_FRACTION)
 
 
 class StreamWatchdog:
@@ -58,45 +58,49 @@
         self._timers = timers
         self._stream = stream
         self._deadline = deadline
-        self._usual_s = max(FIRST_MIN_S, FIRST_FACTOR * first_token_s)
-        self._between_s = max(BETWEEN_MIN_S, BETWEEN_FACTOR * between_tokens_s)
-        self._progress_s = timers.now
+        self._tolerated_s = max(
+            FIRST_TOKEN_MIN_S, FIRST_TOKEN_FACTOR * first_token_s
+        )
+        self._tolerated_gap_s = max(
+            TOKEN_GAP_MIN_S, TOKEN_GAP_FACTOR * between_tokens_s
+        )
+        self._progress_at = timers.now
         self._paused = False
-        self._arm(self._limit_s())
+        self._schedule_check(self._timeout_s())
 
     def record_progress(self) -> None:
         """Notes that a token came."""
-        self._progress_s = self._timers.now
-        self._usual_s = self._between_s
+        self._progress_at = self._timers.now
+        self._tolerated_s = self._tolerated_gap_s
 
     def set_paused(self, paused: bool) -> None:
         """Notes whether the stream is held up by the caller's side."""
         self._paused = paused
-        self._progress_s = self._timers.now
+        self._progress_at = self._timers.now
 
     def stop(self) -> None:
         """Watches no more."""
         self._subscription.cancel()
 
-    def _limit_s(self) -> float:
+    def _timeout_s(self) -> float:
         left_s = max(0.0, self._deadline - self._timers.now)
-        return min(self._usual_s, left_s * SILENCE_PART)
+        return min(self._tolerated_s, left_s * REMAINING_TIME_FRACTION)
 
-    def _arm(self, delay_s: float) -> None:
-        self._due_s = self._timers.now + delay_s
-        self._subscription = self._timers.after(delay_s, self._look)
+    def _schedule_check(self, delay_s: float) -> None:
+        self._due_at = self._timers.now + delay_s
+        self._subscription = self._timers.after(delay_s, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         # Failure guarded against: this process was stopped for a while. On
         # waking, timers run before sockets are read, so every stream looks
         # silent though its tokens wait in the socket; giving them all up
         # would move all answers of this host at once.
-        own_pause = self._timers.now > self._due_s + OWN_PAUSE_S
-        if self._paused or own_pause:
-            self._progress_s = self._timers.now
-        silent_s = self._timers.now - self._progress_s
-        left_s = self._limit_s() - silent_s
+        process_was_paused = self._timers.now > self._due_at + PROCESS_PAUSE_S
+        if self._paused or process_was_paused:
+            self._progress_at = self._timers.now
+        silent_s = self._timers.now - self._progress_at
+        left_s = self._timeout_s() - silent_s
         if left_s <= 0.0:
             self._stream.end(engine.Lost(reason="silent"))
             return
-        self._arm(max(left_s, RECHECK_MIN_S))
+        self._schedule_check(max(left_s, RECHECK_MIN_S))
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/topicjournal.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/topicjournal.py
@@ -1,4 +1,4 @@
-"""The newest records of a topic, kept so that they can be relayed.
+"""The latest records of a topic, kept so that they can be relayed.
 
 Most records of a topic that endpoints write to are heartbeats: they differ
 from the record before in a counter only. Relaying all of them would cost
@@ -18,7 +18,7 @@
 """Records that are kept. Hosts ask every second or so; one that is further
 behind reads the store."""
 
-RECORD_HEAD_BYTES = 16
+RECORD_OVERHEAD_BYTES = 16
 """What a record takes in a message beside its key and value."""
 
 
@@ -40,11 +40,11 @@
 
 
 @attrs.define(kw_only=True)
-class _Newest:
-    """The newest record of a key, late copies left out."""
+class _Latest:
+    """The latest record of a key, late copies left out."""
 
-    said: RecordState
-    is_gone: bool = False
+    state: RecordState
+    is_deleted: bool = False
 
 
 @attrs.frozen(kw_only=True)
@@ -79,23 +79,23 @@
         """
         self._extract_state = extract_state
         self._keeps_records = keeps_records
-        self._begin = 0
-        self._end: int | None = None
-        self._kept: collections.deque[topicreader.KeyedRecord] = (
+        self._start_offset = 0
+        self._end_offset: int | None = None
+        self._records: collections.deque[topicreader.KeyedRecord] = (
             collections.deque()
         )
-        self._newest: dict[str, _Newest] = {}
-        self._held_back: dict[str, topicreader.KeyedRecord] = {}
+        self._latest: dict[str, _Latest] = {}
+        self._suppressed: dict[str, topicreader.KeyedRecord] = {}
 
     def restart(self, listing: topicreader.Listing) -> None:
         """Begins anew after the whole list was read."""
-        self._begin = self._end = listing.end
-        self._kept.clear()
-        self._held_back.clear()
+        self._start_offset = self._end_offset = listing.end
+        self._records.clear()
+        self._suppressed.clear()
         if not self._keeps_records:
             return
-        self._newest = {
-            record.key: _Newest(said=self._extract_state(record))
+        self._latest = {
+            record.key: _Latest(state=self._extract_state(record))
             for record in listing.records
             if record.value is not None
         }
@@ -110,16 +110,16 @@
             end: Where the next ones begin.
         """
         if not self._keeps_records:
-            self._begin = self._end = end
+            self._start_offset = self._end_offset = end
             return bool(records)
-        kept_before = len(self._kept)
+        count_before = len(self._records)
         for record in records:
-            self._take(record)
-        self._end = end
-        is_news = len(self._kept) > kept_before
-        while len(self._kept) > MAX_RECORDS:
+            self._add(record)
+        self._end_offset = end
+        has_news = len(self._records) > count_before
+        while len(self._records) > MAX_RECORDS:
             self._drop_oldest()
-        return is_news
+        return has_news
 
     def read_after(self, offset: int, *, max_bytes: int) -> JournalSlice:
         """Returns the records from an offset on.
@@ -128,66 +128,68 @@
             offset: Where the reader goes on.
             max_bytes: What they may take together.
         """
-        if self._end is None or offset < self._begin:
+        if self._end_offset is None or offset < self._start_offset:
             return JournalSlice(records=(), end=offset, has_more=True)
         found: list[topicreader.KeyedRecord] = []
-        room = max_bytes
-        for record in self._kept:
+        free_bytes = max_bytes
+        for record in self._records:
             if record.offset < offset:
                 continue
-            room -= _size(record)
-            if room < 0:
+            free_bytes -= _record_bytes(record)
+            if free_bytes < 0:
                 return JournalSlice(
                     records=tuple(found), end=record.offset, has_more=True
                 )
             found.append(record)
-        return JournalSlice(records=tuple(found), end=self._end, has_more=False)
+        return JournalSlice(
+            records=tuple(found), end=self._end_offset, has_more=False
+        )
 
-    def _take(self, record: topicreader.KeyedRecord) -> None:
-        said = None
+    def _add(self, record: topicreader.KeyedRecord) -> None:
+        state = None
         if record.value is not None:
-            said = self._extract_state(record)
-            if self._is_repeated(record.key, said):
-                self._newest[record.key].said = said
-                self._held_back[record.key] = record
+            state = self._extract_state(record)
+            if self._is_heartbeat(record.key, state):
+                self._latest[record.key].state = state
+                self._suppressed[record.key] = record
                 return
         # Who gets the new record has to know how far the key's counter was:
         # a late copy of a heartbeat would otherwise look newer than it is.
-        held_back = self._held_back.pop(record.key, None)
-        if held_back is not None:
-            self._kept.append(attrs.evolve(held_back, offset=record.offset))
-        self._kept.append(record)
-        self._note(record.key, said)
-
-    def _is_repeated(self, key: str, said: RecordState) -> bool:
-        newest = self._newest.get(key)
+        suppressed = self._suppressed.pop(record.key, None)
+        if suppressed is not None:
+            self._records.append(attrs.evolve(suppressed, offset=record.offset))
+        self._records.append(record)
+        self._update_latest(record.key, state)
+
+    def _is_heartbeat(self, key: str, state: RecordState) -> bool:
+        latest = self._latest.get(key)
         return (
-            newest is not None
-            and not newest.is_gone
-            and newest.said.content == said.content
-            and newest.said.order < said.order
+            latest is not None
+            and not latest.is_deleted
+            and latest.state.content == state.content
+            and latest.state.order < state.order
         )
 
-    def _note(self, key: str, said: RecordState | None) -> None:
-        newest = self._newest.get(key)
-        if said is None:
-            if newest is not None:
-                newest.is_gone = True
+    def _update_latest(self, key: str, state: RecordState | None) -> None:
+        latest = self._latest.get(key)
+        if state is None:
+            if latest is not None:
+                latest.is_deleted = True
         elif (
-            newest is None
-            or newest.said.order < said.order
-            or (newest.said.order == said.order and not newest.is_gone)
+            latest is None
+            or latest.state.order < state.order
+            or (latest.state.order == state.order and not latest.is_deleted)
         ):
-            self._newest[key] = _Newest(said=said)
+            self._latest[key] = _Latest(state=state)
 
     def _drop_oldest(self) -> None:
-        record = self._kept.popleft()
-        self._begin = record.offset + 1
-        newest = self._newest.get(record.key)
-        if record.value is None and newest is not None and newest.is_gone:
-            del self._newest[record.key]
+        record = self._records.popleft()
+        self._start_offset = record.offset + 1
+        latest = self._latest.get(record.key)
+        if record.value is None and latest is not None and latest.is_deleted:
+            del self._latest[record.key]
 
 
-def _size(record: topicreader.KeyedRecord) -> int:
+def _record_bytes(record: topicreader.KeyedRecord) -> int:
     value_bytes = len(record.value) if record.value is not None else 0
-    return RECORD_HEAD_BYTES + len(record.key.encode()) + value_bytes
+    return RECORD_OVERHEAD_BYTES + len(record.key.encode()) + value_bytes
--- a/packages/bulrushgrade_daemon/tests/test_follower.py
+++ b/packages/bulrushgrade_daemon/tests/test_follower.py
@@ -21,7 +21,7 @@
     shared = sharedtopic.SharedTopic(
         topic="topic",
         own_name="h1/1",
-        view_s=1.5,
+        max_age_s=1.5,
         extract_state=lambda found: topicjournal.RecordState(
             content=found.value
         ),
@@ -65,7 +65,7 @@
     assert [offset for offset, _ in read_after.calls][:3] == [7, 8, 8]
 
 
-def test_dropped_records_bring_the_whole_list_again():
+def test_dropped_records_cause_a_full_reload():
     """The store forgets its history while a daemon is cut off from it.
 
     What was removed meanwhile has no record any more that would say so.
@@ -80,7 +80,7 @@
     assert len(whole) == 2
 
 
-def test_store_away_is_told_once_and_tried_again():
+def test_store_outage_is_logged_once_and_retried():
     away = Failure(topicreader.StoreUnavailable(reason="timeout"))
     read_all = fakes.Answers(
         away, away, away, topicreader.Listing(records=(), end=0)
@@ -125,7 +125,7 @@
     return ages
 
 
-def test_read_that_waited_in_vain_shows_the_topic_as_it_was_at_its_end():
+def test_an_empty_read_that_waited_in_full_dates_the_view_at_its_end():
     """Guards against views that are too old to be handed on half of the time.
 
     Every host of a zone then read the store for itself.
@@ -133,13 +133,13 @@
     assert max(follow_waiting(ends_after=1.0)[25:]) < 1.2
 
 
-def test_read_that_ends_before_its_wait_shows_only_its_beginning():
+def test_an_empty_read_that_ended_early_dates_the_view_at_its_start():
     """Guards against a view that looks fresher than what the store said."""
     ages = follow_waiting(ends_after=0.5)
     assert 0.9 < max(ages[25:]) < 1.2
 
 
-def test_read_that_ends_as_cancelled_is_not_the_silent_end():
+def test_a_read_that_ends_as_cancelled_is_reported():
     """A read fails as if it had been cancelled, and nobody did.
 
     The follower ended, and its gateway served for ever by what it knew.
@@ -152,7 +152,7 @@
     assert len(made.broken) == 1
 
 
-def test_stopped_follower_is_not_broken():
+def test_a_stopped_follower_reports_nothing():
     waiting = defer.Deferred()
 
     async def read_all():
--- a/packages/bulrushgrade_daemon/tests/test_gatewaymessages.py
+++ b/packages/bulrushgrade_daemon/tests/test_gatewaymessages.py
@@ -50,7 +50,7 @@
     ],
     ids=lambda message: type(message).__name__,
 )
-def test_a_message_comes_back_equal(message):
+def test_a_message_round_trips(message):
     datagram = gatewaymessages.serialize(message)
     assert gatewaymessages.parse(datagram) == message
 
@@ -58,5 +58,5 @@
 @pytest.mark.parametrize(
     "datagram", [b"", b"\x00nonsense", b"\x91\xa4load", b"\x92\xa5begun\x01"]
 )
-def test_a_datagram_that_is_no_message_is_none(datagram):
+def test_an_invalid_datagram_parses_to_none(datagram):
     assert gatewaymessages.parse(datagram) is None
--- a/packages/bulrushgrade_daemon/tests/test_loadcodec.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadcodec.py
@@ -23,7 +23,7 @@
 
 
 @given(SHARES)
-def test_shares_come_back_as_they_were(shares):
+def test_shares_round_trip(shares):
     message = gatewaymessages.FleetLoad(
         peer="h1/1",
         number=1,
@@ -34,7 +34,7 @@
     assert loadcodec.decode_shares(parsed.engines) == shares
 
 
-def test_changes_come_by_engine():
+def test_changes_are_grouped_by_engine():
     found = loadcodec.decode_changes({"e1": [("a", 5), ("b", 0)]})
     a = enginecache.CacheChange(part="a", tokens=5)
     b = enginecache.CacheChange(part="b", tokens=0)
--- a/packages/bulrushgrade_daemon/tests/test_loadgossip.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadgossip.py
@@ -11,7 +11,7 @@
 from bulrushgrade_daemon import topicreader
 
 
-def test_queues_of_others_are_known():
+def test_queues_of_peers_are_known():
     reactor, timers, _, (one, two, _) = make()
     one.own = {"e1": SHARE}
     reactor.pump([0.1] * 3)
@@ -19,7 +19,7 @@
     assert one.loads.at("e1", timers.now) == peerloads.EMPTY_SHARE
 
 
-def test_cut_off_peer_fades():
+def test_load_of_a_partitioned_peer_expires():
     reactor, timers, net, (one, two, _) = make()
     one.own = {"e1": SHARE}
     reactor.pump([0.1] * 3)
@@ -45,7 +45,7 @@
     assert all(host.gossip.pick_followed(["e1"]) for host in hosts)
 
 
-def test_a_change_is_told_again_where_its_message_may_be_lost():
+def test_a_change_is_sent_again_in_case_its_message_was_lost():
     # An engine has dropped a part, and the datagram that says so is lost. The
     # host that missed it had the part fetched from there for ever, and each
     # time it was read anew.
@@ -61,7 +61,7 @@
     assert two.changes == [("e1", (change,))]
 
 
-def test_changes_that_find_no_room_come_with_the_next_messages():
+def test_changes_beyond_the_limit_are_sent_in_the_next_messages():
     # An engine drops more parts at once than a message holds. What was left
     # out was never told, and prompts were sent for parts that were gone.
     reactor, _, _, (one, two, _) = make()
@@ -75,7 +75,7 @@
     assert told == {change.part for change in changes}
 
 
-def test_the_newest_change_of_a_part_is_told_last():
+def test_the_latest_change_of_a_part_is_sent_last():
     reactor, _, _, (one, two, _) = make()
     for tokens in (5_000, 0):
         change = enginecache.CacheChange(part="p", tokens=tokens)
@@ -86,7 +86,7 @@
     assert told == [5_000, 0, 0]
 
 
-def test_cache_changes_reach_the_others():
+def test_cache_changes_reach_the_peers():
     reactor, _, _, (one, two, _) = make()
     change = enginecache.CacheChange(part="a", tokens=5000)
     one.gossip.advertise_changes("e1", (change,))
@@ -103,14 +103,14 @@
     assert one.link.host_count == 3
 
 
-def test_host_that_left_is_told_nothing():
+def test_removed_host_is_sent_nothing():
     _, _, _, (one, _, _) = make()
     gone = topicreader.KeyedRecord(key="h2", value=None)
     one.link.apply_records((gone,))
     assert one.link.host_count == 2
 
 
-def test_a_lost_message_does_not_make_a_peer_gone():
+def test_a_lost_message_does_not_mark_a_peer_as_gone():
     # With 200 hosts each tells a peer every two seconds. One datagram is
     # lost; others took the sender for gone and asked someone else for the
     # books that it keeps.
@@ -128,7 +128,7 @@
     assert one.present_peers() == []
 
 
-def test_a_broadcast_that_is_due_after_the_stop_goes_nowhere():
+def test_a_broadcast_repeat_after_the_stop_is_dropped():
     # A host orders a change of role and is stopped in the tenth of a second
     # before it tells of it again. The socket is closed by then, and the stop
     # ended as a failure.
@@ -144,7 +144,7 @@
     assert two.others == [news]
 
 
-def test_a_restarted_host_is_there_once():
+def test_a_restarted_host_is_present_once():
     # Its old name would be asked for the books that it kept, for seconds.
     reactor, timers, _, (one, two, _) = make()
     reactor.pump([0.1] * 3)
@@ -155,7 +155,7 @@
     assert one.gossip.present_peers() == ["h2/2", "h3/1"]
 
 
-def test_host_that_could_not_order_gives_the_lead_up():
+def test_host_that_cannot_order_loses_leadership():
     """The first host by name is cut off from the store, not from its peers.
 
     It was heard and so went on being the one to order, and could not append:
@@ -176,7 +176,7 @@
     assert leaders() == [one]
 
 
-def test_host_that_hears_nobody_leads_if_it_can():
+def test_isolated_host_leads_if_it_can_order():
     reactor, _, net, (one, _, _) = make()
     net.cut = True
     reactor.pump([0.1] * 20)
--- a/packages/bulrushgrade_daemon/tests/test_loadgossip_zones.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadgossip_zones.py
@@ -22,7 +22,7 @@
     assert sum(net.carried.values()) <= 30 * count * seconds
 
 
-def test_long_sums_do_not_fill_a_link():
+def test_large_sums_stay_within_the_bandwidth_limit():
     """Thousands of engines are busy, and a sum of them takes many kilobytes.
 
     Sent as often as a short one it left no room on the link for answers.
@@ -57,7 +57,7 @@
         assert others.wait_s(0) == pytest.approx((count - 1) * 0.25)
 
 
-def test_every_host_knows_who_is_there():
+def test_every_host_knows_all_present_daemons():
     reactor, _, _, hosts = make(count=120, zones=4)
     reactor.pump([0.1] * 30)
     names = {f"h{n}/1" for n in range(1, 121)}
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("zones", [1, 3])
-def test_a_host_that_adds_up_is_killed(zones):
+def test_an_aggregator_is_killed(zones):
     """The host that adds up for its zone dies in a burst.
 
     The others hear no sum any more. What they had heard before gets old, and
@@ -97,7 +97,7 @@
         assert host.loads.at("e1", timers.now).streams == expected
 
 
-def test_two_that_add_up_one_after_the_other_are_killed():
+def test_the_two_first_aggregators_of_a_zone_are_killed():
     """A rack is lost with the host that adds up for a zone and the next one.
 
     The others turned to the second, which never replied to them, and left the
@@ -116,7 +116,7 @@
             assert not gone & set(host.gossip.present_peers())
 
 
-def test_a_host_that_adds_up_comes_back():
+def test_an_aggregator_comes_back():
     reactor, timers, net, hosts = make(count=60, zones=3)
     for host in hosts:
         host.own = {"e1": SHARE}
@@ -132,7 +132,7 @@
         assert streams == 59 * SHARE.streams
 
 
-def test_a_zone_that_is_cut_off_goes_by_itself():
+def test_other_zones_drop_the_load_of_a_partitioned_zone():
     reactor, timers, net, hosts = make(count=60, zones=3)
     for host in hosts:
         host.own = {"e1": SHARE}
@@ -157,7 +157,7 @@
         assert len(host.changes) <= 4
 
 
-def test_who_follows_an_engine_is_not_told_of_it():
+def test_the_follower_of_an_engine_ignores_its_own_changes():
     """What a host saw of an engine comes back to it in the sum of all.
 
     It is older by then than what the host has seen since.
--- a/packages/bulrushgrade_daemon/tests/test_peerqueries.py
+++ b/packages/bulrushgrade_daemon/tests/test_peerqueries.py
@@ -58,7 +58,7 @@
     assert peers.queries.counts == {"queries": 1, "late_replies": 0}
 
 
-def test_a_peer_that_does_not_reply_holds_nobody_up():
+def test_a_silent_peer_delays_a_query_only_until_the_timeout():
     # A host is cut off or paused. Each long prompt whose engines it owns would
     # wait for its reply; it waits for the limit, and goes on with the others'.
     peers = Peers("h1", "h2")
@@ -80,13 +80,13 @@
     assert peers.replied() == ["h1"]
 
 
-def test_nobody_to_query_is_no_query():
+def test_an_empty_query_is_not_counted():
     peers = Peers("h1")
     assert peers.query().called
     assert peers.queries.counts["queries"] == 0
 
 
-def test_a_reply_to_an_earlier_query_says_nothing():
+def test_a_reply_to_an_earlier_query_is_ignored():
     # The reply to a query that was given up arrives while the next one is
     # open. What it says is old.
     peers = Peers("h1")
@@ -100,7 +100,7 @@
     assert pending.called
 
 
-def test_a_caller_that_leaves_takes_its_query_along():
+def test_a_cancelled_query_is_dropped():
     peers = Peers("h1")
     pending = peers.query("h1")
     pending.addErrback(lambda failure: failure.trap(defer.CancelledError))
--- a/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
+++ b/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
@@ -74,7 +74,7 @@
         self.shared = sharedtopic.SharedTopic(
             topic="t",
             own_name=name,
-            view_s=VIEW_S,
+            max_age_s=VIEW_S,
             extract_state=lambda record: topicjournal.RecordState(
                 content=record.value
             ),
@@ -165,13 +165,13 @@
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_a_lone_host_reads_at_its_own_pace():
+def test_a_single_host_reads_at_its_own_interval():
     zone = Zone(count=1)
     zone.run(10.5 * VIEW_S)
     assert zone.store.reads == 10
 
 
-def test_a_record_is_told_at_once():
+def test_a_record_is_announced_at_once():
     zone = Zone()
     zone.run(3 * VIEW_S)
     read_by = zone.known_after("e", without=set(zone.ranked[1:]))
@@ -181,7 +181,7 @@
     )
 
 
-def test_the_host_that_reads_is_killed():
+def test_the_source_is_killed():
     """The host that reads for its zone dies; an endpoint leaves right then.
 
     Nobody replies to the others, who go on sending requests there until the
@@ -193,7 +193,7 @@
     assert zone.known_after("e", without={"h1"}) <= KNOWN_WITHIN_S
 
 
-def test_the_host_that_reads_is_cut_off_from_its_zone():
+def test_the_source_is_cut_off_from_its_zone():
     """It still reads, and all others are in touch with the store."""
     zone = Zone()
     zone.run(3 * VIEW_S)
@@ -201,7 +201,7 @@
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_the_host_that_reads_is_paused_and_wakes():
+def test_the_source_is_paused_and_resumes():
     """It is paused for seconds and then replies to all that has come.
 
     Its replies tell of the time before the pause. Taken for fresh they would
@@ -224,7 +224,7 @@
         assert zone.hosts[name].known["e"] - began <= KNOWN_WITHIN_S
 
 
-def test_the_host_that_reads_is_cut_off_from_the_store():
+def test_the_source_is_cut_off_from_the_store():
     """Only its way to the store is cut: it hears and answers everybody.
 
     What it hands on gets older, and to the others it would look as if no
@@ -236,21 +236,21 @@
     assert zone.known_after("e", without={"h1"}) <= KNOWN_WITHIN_S
 
 
-def test_the_store_goes_silent_in_a_read_of_the_host_that_reads():
+def test_the_store_stops_responding_to_the_source():
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.store.silent.add("h1")
     assert zone.known_after("e", without={"h1"}) <= KNOWN_WITHIN_S
 
 
-def test_a_host_that_is_cut_off_from_the_store_alone_is_told_by_others():
+def test_a_host_cut_off_from_the_store_gets_relayed_records():
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.store.cut.add("h3")
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_a_reader_cut_off_from_the_store_is_told_by_others():
+def test_a_source_cut_off_from_the_store_queries_the_others():
     """The first host can't read, so it queries the others in its turn."""
     zone = Zone()
     zone.run(3 * VIEW_S)
@@ -275,7 +275,7 @@
     assert zone.store.reads - before <= everybody / 2
 
 
-def test_replies_that_are_held_up_do_not_pass_for_fresh():
+def test_delayed_replies_are_not_taken_for_fresh():
     """A slow path delays every datagram; the age counts from the query."""
     zone = Zone()
     zone.run(3 * VIEW_S)
@@ -299,7 +299,7 @@
     assert zone.hosts["h4"].follower.reaches_store
 
 
-def test_the_return_of_the_store_is_handed_on():
+def test_the_return_of_the_store_is_relayed():
     """The store was away for the host that reads, too short for the others.
 
     Endpoints whose records lapsed meanwhile are there; without the time of
@@ -314,8 +314,8 @@
     zone.run(6 * VIEW_S)
     regained_at = zone.hosts["h1"].follower.regained_at
     assert regained_at is not None
-    told = zone.hosts["h2"].follower.regained_at
-    assert told == pytest.approx(regained_at, abs=0.2)
+    relayed_at = zone.hosts["h2"].follower.regained_at
+    assert relayed_at == pytest.approx(regained_at, abs=0.2)
 
 
 def test_records_far_behind_come_from_the_store():
@@ -326,7 +326,7 @@
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_who_is_queried_reads_though_it_is_not_the_first():
+def test_a_queried_host_reads_although_it_is_not_the_first():
     """Most hosts do not hear the first one and query the second.
 
     The second got its records from the first, mostly too old to be handed on
@@ -345,7 +345,7 @@
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_a_reply_that_waited_for_a_paused_host_is_old():
+def test_the_age_of_a_reply_counts_from_the_query():
     """A host is paused between its query and the reply.
 
     It wakes seconds later and takes the reply before its timers run. Counted
@@ -372,5 +372,5 @@
             age_ms=0,
         )
     )
-    (handed,) = taken
-    assert handed.as_of == pytest.approx(queried_at)
+    (relayed,) = taken
+    assert relayed.as_of == pytest.approx(queried_at)
--- a/packages/bulrushgrade_daemon/tests/test_topicjournal.py
+++ b/packages/bulrushgrade_daemon/tests/test_topicjournal.py
@@ -28,20 +28,23 @@
     return journal
 
 
-def handed(journal, offset, max_bytes=ROOM):
+def read_relayed(journal, offset, max_bytes=ROOM):
     extract = journal.read_after(offset, max_bytes=max_bytes)
     return [(r.key, r.value) for r in extract.records], extract.end
 
 
-def test_heartbeats_are_not_handed_on():
+def test_heartbeats_are_not_relayed():
     journal = make(
         record(0, "a", "ready", 1),
         record(1, "a", "ready", 2),
         record(2, "b", "ready", 1),
         record(3, "a", "ready", 3),
     )
-    assert handed(journal, 0) == ([("a", b"ready 1"), ("b", b"ready 1")], 4)
-    assert handed(journal, 3) == ([], 4)
+    assert read_relayed(journal, 0) == (
+        [("a", b"ready 1"), ("b", b"ready 1")],
+        4,
+    )
+    assert read_relayed(journal, 3) == ([], 4)
 
 
 def test_records_with_secrets_are_announced_and_not_kept():
@@ -59,7 +62,7 @@
     assert "secret" not in repr(vars(journal))
 
 
-def test_the_last_heartbeat_goes_ahead_of_what_changes():
+def test_the_last_heartbeat_is_relayed_before_a_change():
     """A late copy of a heartbeat is appended after its endpoint is gone.
 
     Who had not seen that heartbeat would take the copy for a newer record,
@@ -70,19 +73,19 @@
         record(1, "a", "ready", 2),
         record(2, "a", None),
     )
-    assert handed(journal, 1) == ([("a", b"ready 2"), ("a", None)], 3)
+    assert read_relayed(journal, 1) == ([("a", b"ready 2"), ("a", None)], 3)
 
 
-def test_a_record_that_comes_back_is_news():
+def test_a_record_that_returns_after_its_deletion_is_relayed():
     journal = make(
         record(0, "a", "ready", 1),
         record(1, "a", None),
         record(2, "a", "ready", 2),
     )
-    assert handed(journal, 1) == ([("a", None), ("a", b"ready 2")], 3)
+    assert read_relayed(journal, 1) == ([("a", None), ("a", b"ready 2")], 3)
 
 
-def test_what_lies_before_the_journal_is_not_guessed():
+def test_a_read_before_the_journal_start_is_incomplete():
     """A host is further behind than the journal of the one that it queries.
 
     An empty answer would look to it as if nothing had happened meanwhile.
@@ -93,12 +96,12 @@
     assert extract.end == 6
 
 
-def test_nothing_is_known_before_the_first_read():
+def test_a_read_before_the_first_load_is_incomplete():
     journal = topicjournal.TopicJournal(extract_state=extract_state)
     assert journal.read_after(0, max_bytes=ROOM).has_more
 
 
-def test_what_does_not_fit_comes_next():
+def test_records_beyond_the_limit_come_in_the_next_read():
     records = [record(n, f"k{n}", "x" * 100) for n in range(10)]
     journal = make(*records)
     found, offset = [], 0
@@ -167,7 +170,7 @@
         max_size=30,
     )
 )
-def test_who_is_handed_records_believes_the_same(steps):
+def test_relayed_records_give_the_same_directory(steps):
     """Records of any order, late copies among them, read in any batches."""
     journal = make()
     direct, indirect = (directory.Directory(leaving_use_s=1.0) for _ in "12")
