--- a/packages/bulrushgrade_daemon/tests/test_loadgossip.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadgossip.py
@@ -72,8 +72,8 @@
     )
     one.gossip.advertise_changes("e1", changes)
     reactor.pump([0.1] * 3)
-    told = {change.part for _, some in two.changes for change in some}
-    assert told == {change.part for change in changes}
+    received = {change.part for _, some in two.changes for change in some}
+    assert received == {change.part for change in changes}
 
 
 def test_the_latest_change_of_a_part_is_sent_last():
@@ -83,8 +83,8 @@
         one.gossip.advertise_changes("e1", (change,))
         reactor.advance(0.1)
     reactor.pump([0.1] * 5)
-    told = [change.tokens for _, some in two.changes for change in some]
-    assert told == [5_000, 0, 0]
+    received = [change.tokens for _, some in two.changes for change in some]
+    assert received == [5_000, 0, 0]
 
 
 def test_cache_changes_reach_the_peers():
