--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/group.py
@@ -1,7 +1,7 @@
-"""One group of engines: its lease, its orders and its plan of roles.
+"""One group of engines: its lease, its orders and its role plan.
 
 A group is the engines of one service in one zone or region, named
-``SERVICE.PLACE``. Everything here runs in turns of the authority service.
+``SERVICE.LOCATION``. The authority service calls everything in here.
 """
 
 from collections.abc import Callable
@@ -20,32 +20,32 @@
 from bulrushgrade import work
 from bulrushgrade_daemon import engine
 
-# An engine that refuses work without an order is brought back after so long:
-# the platform's own drain shows on the host list by then.
-STRANDED_S = 15.0
-# Other hosts learn from the engine that it takes no work; a request that
-# bounces there costs one more attempt, so there is little to wait for.
+# An engine that drains without an order is returned to service after this
+# time. A drain by the platform itself shows on the host list by then.
+UNORDERED_DRAIN_TIMEOUT_S = 15.0
+# How long a role change waits for other hosts to stop placing work on the
+# engine. Short, as a request that the engine refuses costs one more attempt.
 DROP_LIMIT_S = 0.5
 
 
 def parse_group(name: str) -> tuple[str, str]:
     """Returns the service and the zone or region in a group's name."""
-    service, _, place = name.partition(".")
-    return service, place
+    service, _, location = name.partition(".")
+    return service, location
 
 
-def seen_of(load: engine.EngineLoad) -> engineorder.EngineReport:
-    """Returns what an engine's report says of what it is."""
+def make_engine_report(load: engine.EngineLoad) -> engineorder.EngineReport:
+    """Converts an engine's load report to the form that orders use."""
     return engineorder.EngineReport(
         state=load.state,
-        current=wanted_of(load),
+        current=reported_configuration(load),
         order_id=load.order_id or "",
         number=-1 if load.term is None else load.term,
     )
 
 
-def wanted_of(load: engine.EngineLoad) -> orderlog.Wanted:
-    """Returns the role and model that an engine reports."""
+def reported_configuration(load: engine.EngineLoad) -> orderlog.Wanted:
+    """Returns the role, model and adapters that an engine reports."""
     return orderlog.Wanted(
         role=load.role,
         model=load.model,
@@ -56,17 +56,17 @@
 
 @attrs.frozen(kw_only=True)
 class GroupParts:
-    """What a group works with.
+    """The tracker and callbacks that a group uses.
 
     Attributes:
-        order_tracker: The orders; it holds the lease.
-        append: Appends a record; calls back with its id if it was certainly
-            not stored.
-        send_order: Writes an order to its engine.
+        order_tracker: The orders of the group and the lease they depend on.
+        append: Appends a record; calls its second argument with the record's
+            id if the record was certainly not stored.
+        send_order: Sends an order to its engine.
         ask_drain: Asks an engine to refuse new work.
-        hold: Keeps new work of this host from an engine, or no longer.
-        capacity: Returns what an engine of a model reads and generates a
-            second, in tokens.
+        hold: Sets whether this host holds new work back from an engine.
+        capacity: Returns an engine's rates of prefill and decode for a model,
+            in tokens a second.
     """
 
     order_tracker: order.OrderTracker
@@ -78,7 +78,7 @@
 
 
 class Group:
-    """The part of one candidate in the control of one group."""
+    """Controls one group while this host holds its lease."""
 
     def __init__(self, *, name: str, parts: GroupParts):
         self._name = name
@@ -88,10 +88,10 @@
         self._change: rolechange.RoleChange | None = None
         self._engines: dict[str, work.Endpoint] = {}
         self._loads: dict[str, engine.EngineLoad] = {}
-        self._seen_at = 0.0
-        self._live: frozenset[str] = frozenset()
-        self._stranded_since: dict[str, float] = {}
-        self._was_acting = False
+        self._reported_at = 0.0
+        self._live_engines: frozenset[str] = frozenset()
+        self._draining_since: dict[str, float] = {}
+        self._had_lease = False
         self._counts = dict.fromkeys(
             ("orders_sent", "role_changes", "terms"), 0
         )
@@ -108,7 +108,7 @@
 
     @property
     def lease(self) -> lease.Lease:
-        """The lease of this candidate."""
+        """This host's lease or candidacy for it."""
         return self._parts.order_tracker.authority
 
     @property
@@ -117,10 +117,10 @@
         return self._counts
 
     def set_weights(self, goodput: float, role_changes: float) -> None:
-        """Takes the service document's weights; a new plan starts with them.
+        """Sets the weights of the service document.
 
-        The history of demand goes with the old plan, which delays the next
-        change by less than a minute.
+        New weights start a new plan. The history of demand is lost with the
+        old one, which delays the next role change by less than a minute.
         """
         if (goodput, role_changes) != self._weights:
             self._weights = (goodput, role_changes)
@@ -136,14 +136,14 @@
         fencing: dict[str, bool],
         live: frozenset[str],
     ) -> None:
-        """Takes the group's engines, as they are listed now.
+        """Replaces the group's engines by those on the host list.
 
         Args:
-            engines: What they are, by address.
-            fencing: Whether each refuses orders with old numbers.
-            live: Those that the list calls live.
+            engines: The engines by address.
+            fencing: Whether each engine refuses old fencing numbers.
+            live: The addresses that the list marks as live.
         """
-        self._live = live
+        self._live_engines = live
         for address in self._engines.keys() - engines.keys():
             self.order_tracker.remove_engine(address)
             self._loads.pop(address, None)
@@ -154,12 +154,12 @@
     def observe(
         self, address: str, load: engine.EngineLoad, now: float
     ) -> None:
-        """Takes an engine's report."""
+        """Applies an engine's load report."""
         if address not in self._engines:
             return
         self._loads[address] = load
-        self._seen_at = now
-        self.order_tracker.observe(address, seen_of(load), now)
+        self._reported_at = now
+        self.order_tracker.observe(address, make_engine_report(load), now)
         if self._change is not None and self._change.engine == address:
             self._change.observe_load(
                 rolechange.Load(
@@ -172,11 +172,11 @@
     def observe_demand(
         self, host: str, demand: work.Demand, now: float
     ) -> None:
-        """Takes what callers have asked a host for."""
+        """Adds the demand of a host's callers to the plan."""
         self._plan.observe(host, demand, now)
 
     def tick(self, now: float) -> None:
-        """Does what is due: renews, orders, changes roles."""
+        """Renews the lease, sends due orders and advances a role change."""
         for append in self.lease.tick(now):
             self._parts.append(append, self.lease.append_failed)
         for append in self.order_tracker.due(now):
@@ -184,16 +184,16 @@
         for each in self.order_tracker.sendable(now):
             self._counts["orders_sent"] += 1
             self._parts.send_order(self, each)
-        self._note_acting(now)
-        self._drive_change(now)
-        self._bring_back(now)
+        self._track_lease(now)
+        self._advance_change(now)
+        self._end_unordered_drains(now)
         self._hold_engines(now)
 
     def plan(self, now: float) -> None:
-        """Starts the change of role that pays best, if one does.
+        """Starts the most beneficial role change, if there is one.
 
-        Only the holder of the lease plans, and never two changes at a time:
-        the effect of one has to show before the next is judged.
+        Only the holder of the lease plans, and only one change at a time: the
+        effect of one must be visible before the next is evaluated.
         """
         if not self.lease.holds_lease(now) or self._change is not None:
             return
@@ -205,7 +205,7 @@
         load = self._loads.get(proposed.endpoint)
         if load is None:
             return
-        before = wanted_of(load)
+        before = reported_configuration(load)
         self._plan.record_change(proposed, now)
         self._counts["role_changes"] += 1
         self._change = rolechange.RoleChange(
@@ -218,7 +218,7 @@
         )
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Returns the group's state for a person, ready for JSON."""
+        """Returns the group's state for debugging, ready for JSON."""
         change = self._change
         return {
             "phase": self.lease.phase,
@@ -242,15 +242,15 @@
             "counts": dict(self._counts),
         }
 
-    def _note_acting(self, now: float) -> None:
-        acting = self.lease.holds_lease(now)
-        if acting and not self._was_acting:
+    def _track_lease(self, now: float) -> None:
+        holding = self.lease.holds_lease(now)
+        if holding and not self._had_lease:
             self._counts["terms"] += 1
-        if self._was_acting and not acting and self._change is not None:
+        if self._had_lease and not holding and self._change is not None:
             self._change.hand_over(now)
-        self._was_acting = acting
+        self._had_lease = holding
 
-    def _drive_change(self, now: float) -> None:
+    def _advance_change(self, now: float) -> None:
         change = self._change
         if change is None:
             return
@@ -260,10 +260,10 @@
             change.phase == "ordering"
             and load is not None
             and change.engine not in unfinished
-            and wanted_of(load) == change.target
+            and reported_configuration(load) == change.target
             and load.state == "serving"
         ):
-            change.observe_outcome(wanted_of(load), now)
+            change.observe_outcome(reported_configuration(load), now)
         action = change.tick(now)
         if action is rolechange.Action.ASK_DRAIN:
             self._parts.ask_drain(change.engine)
@@ -279,30 +279,33 @@
         if change.over:
             self._change = None
 
-    def _bring_back(self, now: float) -> None:
-        """Orders engines that refuse work for nothing to stay as they are.
+    def _end_unordered_drains(self, now: float) -> None:
+        """Returns engines that drain without an order to service.
 
-        Failure guarded against: a holder asks an engine to drain and dies, or
-        loses the log, before the order. The engine then refuses all work for
-        good, which shows as a group that is one engine short.
+        Failure guarded against: a holder asks an engine to drain and crashes,
+        or loses the log, before it gives the order. The engine would refuse
+        all work forever and the group would lack one engine. An order to keep
+        its current role ends the drain.
         """
         changing = None if self._change is None else self._change.engine
-        stranded = {
+        draining = {
             address
             for address in self.order_tracker.draining_without_order()
-            if address in self._live and address != changing
+            if address in self._live_engines and address != changing
         }
-        self._stranded_since = {
-            address: self._stranded_since.get(address, now)
-            for address in stranded
+        self._draining_since = {
+            address: self._draining_since.get(address, now)
+            for address in draining
         }
         if not self.lease.holds_lease(now):
             return
-        for address, since in self._stranded_since.items():
-            if now < since + STRANDED_S:
+        for address, since in self._draining_since.items():
+            if now < since + UNORDERED_DRAIN_TIMEOUT_S:
                 continue
             load = self._loads[address]
-            intent = self.order_tracker.propose(address, wanted_of(load), now)
+            intent = self.order_tracker.propose(
+                address, reported_configuration(load), now
+            )
             if isinstance(intent, Success):
                 self._parts.append(
                     intent.unwrap(), self.order_tracker.append_failed
@@ -318,11 +321,11 @@
 
     def _view(self) -> roleplan.GroupView:
         model = next(iter(self._engines.values())).model
-        read, generated = self._parts.capacity(model)
+        prefill_rate, decode_rate = self._parts.capacity(model)
         return roleplan.GroupView(
-            at=self._seen_at,
+            at=self._reported_at,
             endpoints=tuple(self._engines.values()),
             running={a: float(x.running) for a, x in self._loads.items()},
-            prefill_tokens_per_s=read,
-            decode_tokens_per_s=generated,
+            prefill_tokens_per_s=prefill_rate,
+            decode_tokens_per_s=decode_rate,
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/logwriter.py
@@ -1,4 +1,4 @@
-"""Appends records to the log in batches, a stream at a time."""
+"""Appends records to the log service in batches, one batch per stream."""
 
 from typing import Any
 
@@ -12,24 +12,26 @@
 from bulrushgrade_daemon import logclient
 from bulrushgrade_daemon import task
 
-# The log takes a few hundred appends a second in all. Records that come while
-# one request is under way go together in the next; so many at most, which
-# keeps a request far below the log's limit of a second.
+# Maximum number of records in one append request. The log accepts a few hundred
+# appends a second in total, so records that arrive while a request is pending
+# are sent together in the next one. This batch size keeps a request far below
+# the log's time limit of one second.
 MAX_BATCH = 100
-# Beyond this the log is not keeping up, and a caller is better told at once.
-MAX_WAITING = 1000
+# Maximum number of pending records of a stream. With more, the log does not
+# keep up, and it is better to fail at once.
+MAX_PENDING = 1000
 
-Stored = Result[int, logclient.NotStored | logclient.OutcomeUnknown]
+AppendResult = Result[int, logclient.NotStored | logclient.OutcomeUnknown]
 
 
 @attrs.frozen(kw_only=True)
-class _Waiting:
+class _PendingAppend:
     append: record.Append
-    stored: defer.Deferred
+    result: defer.Deferred
 
 
 class LogWriter:
-    """Takes single records and appends them together."""
+    """Collects single records and appends them in batches."""
 
     name = "logwriter"
     requires = ("log",)
@@ -37,8 +39,8 @@
     def __init__(self, *, log: logclient.LogClient, kernel: Any):
         self._log = log
         self._kernel = kernel
-        self._waiting: dict[str, list[_Waiting]] = {}
-        self._busy: set[str] = set()
+        self._pending: dict[str, list[_PendingAppend]] = {}
+        self._active_streams: set[str] = set()
         self._counts = {"records": 0, "requests": 0, "overfull": 0}
 
     @property
@@ -47,20 +49,20 @@
         return self._counts
 
     async def start(self) -> None:
-        """Needs nothing opened."""
+        """Does nothing; there is nothing to open."""
 
     async def stop(self) -> None:
-        """Appends nothing more; what waits has been given up by its owners."""
+        """Does nothing; the owners of pending records have given them up."""
 
     def receive(self, message: Any) -> None:
-        """Takes records whose fate its sender learns by reading the log."""
+        """Appends a record; its sender learns the result from the log."""
         if isinstance(message, record.Append):
             self.append(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and what waits, by stream."""
-        waiting = {s: len(w) for s, w in self._waiting.items() if w}
-        return {"waiting": waiting, "counts": dict(self._counts)}
+        """Returns the counters and the number of pending records by stream."""
+        pending = {s: len(w) for s, w in self._pending.items() if w}
+        return {"waiting": pending, "counts": dict(self._counts)}
 
     def append(self, append: record.Append) -> defer.Deferred:
         """Appends a record with the next batch of its stream.
@@ -69,40 +71,40 @@
             append: The record.
 
         Returns:
-            Fires with its offset, or with what is known of a failure.
+            Fires with the record's offset, or with the failure.
         """
-        waiting = self._waiting.setdefault(append.stream, [])
-        if len(waiting) >= MAX_WAITING:
+        pending = self._pending.setdefault(append.stream, [])
+        if len(pending) >= MAX_PENDING:
             self._counts["overfull"] += 1
             reason = "too many records wait for the log"
             return defer.succeed(Failure(logclient.NotStored(reason=reason)))
-        stored: defer.Deferred = defer.Deferred()
-        waiting.append(_Waiting(append=append, stored=stored))
-        if append.stream not in self._busy:
-            self._busy.add(append.stream)
+        result: defer.Deferred = defer.Deferred()
+        pending.append(_PendingAppend(append=append, result=result))
+        if append.stream not in self._active_streams:
+            self._active_streams.add(append.stream)
             task.spawn(
-                self._drain(append.stream),
+                self._append_batches(append.stream),
                 name=f"append to {append.stream}",
                 on_broken=self._kernel.fail,
             )
-        return stored
+        return result
 
-    async def _drain(self, stream: str) -> None:
-        waiting = self._waiting[stream]
-        while waiting:
-            batch = waiting[:MAX_BATCH]
-            del waiting[:MAX_BATCH]
+    async def _append_batches(self, stream: str) -> None:
+        pending = self._pending[stream]
+        while pending:
+            batch = pending[:MAX_BATCH]
+            del pending[:MAX_BATCH]
             self._counts["records"] += len(batch)
             self._counts["requests"] += 1
-            stored = await self._log.append(
+            result = await self._log.append(
                 stream, [each.append for each in batch]
             )
             for number, each in enumerate(batch):
-                each.stored.callback(_pick(stored, number))
-        self._busy.discard(stream)
+                each.result.callback(_pick_result(result, number))
+        self._active_streams.discard(stream)
 
 
-def _pick(stored: Any, number: int) -> Stored:
-    if isinstance(stored, Failure):
-        return stored
-    return Success(stored.unwrap()[number])
+def _pick_result(result: Any, number: int) -> AppendResult:
+    if isinstance(result, Failure):
+        return result
+    return Success(result.unwrap()[number])
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementindex.py
@@ -1,9 +1,10 @@
-"""Queries peers for where a long prompt is best read, and reports it there.
+"""Distributed index of engines' queues and of the holders of shared parts.
 
-The queue of each engine, and the holders of each shared part, are known to
-the daemons that own them by hashing, the same in the eyes of all that hear
-the same peers. A query costs a few milliseconds; a prompt that is sent behind
-others, or a part that is read again, costs hundreds.
+Each engine's queue and each shared part is owned by daemons that are chosen by
+hashing; all daemons that see the same peers find the same owners. Daemons
+report long prefills to the owners and query them before they place a long
+prompt. A query costs a few milliseconds; a prompt queued behind others, or a
+part that is prefilled twice, costs hundreds.
 """
 
 from collections.abc import Callable
@@ -20,12 +21,12 @@
 from bulrushgrade_daemon import gatewaymessages
 from bulrushgrade_daemon import peerqueries
 
-FORGET_S = 1.0
-"""Between two searches for entries that nobody ended."""
+FORGET_PERIOD_S = 1.0
+"""Interval between searches for expired entries."""
 
 
 class PlacementIndex:
-    """Queues and parts that this daemon owns, and the way to other owners."""
+    """Queues and parts that this daemon owns, and queries to other owners."""
 
     name = "placementindex"
     requires = ("timer",)
@@ -38,15 +39,15 @@
         find_owners: Callable[[str], list[str]],
         send: Callable[[str, gatewaymessages.Message], bool],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
             timers: The timer service.
             own_name: This daemon's name among its peers.
-            find_owners: Returns the owners of an engine's queue or a part,
-                whom to query first.
-            send: Sends a message to a peer; returns whether it is known
-                where that is.
+            find_owners: Returns the owners of an engine's queue or a part;
+                the first one is queried.
+            send: Sends a message to a peer; returns whether the peer's
+                address is known.
         """
         self._timers = timers
         self._own_name = own_name
@@ -60,28 +61,31 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Questions to peers, and those without all replies in time."""
+        """Queries to peers, and those without all replies in time."""
         return self._queries.counts
 
     async def start(self) -> None:
-        """Begins to drop what nobody ended."""
-        self._tick = self._timers.every(FORGET_S, self._forget)
+        """Starts dropping expired entries."""
+        self._tick = self._timers.every(FORGET_PERIOD_S, self._forget)
 
     async def stop(self) -> None:
-        """Drops nothing any more."""
+        """Stops dropping expired entries."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes peers' queries, replies and reports on engines and parts."""
+        """Handles peers' queries, replies and reports on engines and parts."""
         now = self._timers.now
         match message:
             case gatewaymessages.WaitQuery(peer, number):
                 self._send(
-                    peer, self._reply(number, message.engines, message.urgency)
+                    peer,
+                    self._make_wait_reply(
+                        number, message.engines, message.urgency
+                    ),
                 )
             case gatewaymessages.HolderQuery(peer, number, part):
-                self._send(peer, self._reply_part(number, part))
+                self._send(peer, self._make_holder_reply(number, part))
             case gatewaymessages.WaitReply() | gatewaymessages.HolderReply():
                 self._queries.handle_reply(message)
             case gatewaymessages.Begun(peer, number, engine):
@@ -95,10 +99,10 @@
             case gatewaymessages.Ended(peer, number, engine):
                 self._queues.end(engine, (peer, number), now)
             case gatewaymessages.HolderUpdate(parts=parts) if parts:
-                self._parts.update(_read_holder(message), now)
+                self._parts.update(_parse_holder(message), now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns how much this daemon owns."""
+        """Returns the number of entries that this daemon owns."""
         return {
             "readings": len(self._queues),
             "parts": len(self._parts),
@@ -114,7 +118,7 @@
 
         Args:
             engines: The engines' ids.
-            urgency: The prompt's; 0 is read first.
+            urgency: The prompt's urgency; 0 is prefilled first.
         """
         queried: dict[str, list[str]] = {}
         for engine in engines:
@@ -125,21 +129,21 @@
                 owner: functools.partial(
                     gatewaymessages.WaitQuery,
                     self._own_name,
-                    engines=its,
+                    engines=owned,
                     urgency=urgency,
                 )
-                for owner, its in queried.items()
+                for owner, owned in queried.items()
             }
         )
-        waits_ms = self._reply(0, own, urgency).waits_ms
+        waits_ms = self._make_wait_reply(0, own, urgency).waits_ms
         for reply in replies:
             waits_ms |= reply.waits_ms
         return {engine: ms / 1000 for engine, ms in waits_ms.items()}
 
     async def query_holders(self, part: str) -> list[prefixindex.PrefixHolder]:
-        """Returns the engines that were lately sent a shared part.
+        """Returns the engines that were recently sent a shared part.
 
-        None are known where its owner did not reply in time.
+        Returns none if the owner did not reply in time.
 
         Args:
             part: The part's id.
@@ -152,7 +156,7 @@
         )
         replies = await self._queries.query({owner: question})
         return [
-            _read_holder(holder)
+            _parse_holder(holder)
             for reply in replies
             for holder in reply.holders
             if holder.parts
@@ -161,33 +165,33 @@
     def begin(
         self,
         engine: str,
-        reading: engineload.PendingPrefill,
+        prefill: engineload.PendingPrefill,
         parts: tuple[prompt_module.PromptPart, ...] = (),
     ) -> Callable[[bool], None]:
-        """Reports that a prompt is sent; returns what reports its end.
+        """Reports the start of a prefill; returns a function to report its end.
 
-        The returned function takes whether it was read. Only its first call
-        counts.
+        The returned function takes whether the prompt was prefilled. Only its
+        first call counts.
 
         Args:
             engine: The engine's id.
-            reading: The reading.
-            parts: Shared parts that the engine will then have.
+            prefill: The prefill.
+            parts: Shared parts that the engine will hold afterwards.
         """
         owners, number = self._find_owners(engine), next(self._numbers)
         begun = gatewaymessages.Begun(
             peer=self._own_name,
             number=number,
             engine=engine,
-            reading_ms=round(reading.expected_s * 1000),
-            latency_ms=round(reading.latency_s * 1000),
-            urgency=reading.urgency,
+            reading_ms=round(prefill.expected_s * 1000),
+            latency_ms=round(prefill.latency_s * 1000),
+            urgency=prefill.urgency,
         )
         self._report(owners, begun)
         self._report_parts(engine, prefixindex.HolderState.COMING, parts)
         is_reported = False
 
-        def end(was_read: bool) -> None:
+        def end(was_prefilled: bool) -> None:
             nonlocal is_reported
             if is_reported:
                 return
@@ -197,7 +201,7 @@
             )
             self._report(owners, ended)
             state = prefixindex.HolderState.GONE
-            if was_read:
+            if was_prefilled:
                 state = prefixindex.HolderState.KEPT
             self._report_parts(engine, state, parts)
 
@@ -225,7 +229,7 @@
             else:
                 self._send(owner, message)
 
-    def _reply(
+    def _make_wait_reply(
         self, number: int, engines: list[str], urgency: int
     ) -> gatewaymessages.WaitReply:
         now = self._timers.now
@@ -240,7 +244,7 @@
             },
         )
 
-    def _reply_part(
+    def _make_holder_reply(
         self, number: int, part: str
     ) -> gatewaymessages.HolderReply:
         holders = self._parts.find(part, self._timers.now)
@@ -265,7 +269,7 @@
     )
 
 
-def _read_holder(
+def _parse_holder(
     update: gatewaymessages.HolderUpdate,
 ) -> prefixindex.PrefixHolder:
     return prefixindex.PrefixHolder(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestlog.py
@@ -1,4 +1,4 @@
-"""Lines of the log about single requests."""
+"""Log lines about single requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,35 +13,35 @@
 
 
 class RequestLog:
-    """Writes what became of requests that did not go as they should."""
+    """Logs requests that were refused, failed or late."""
 
     def __init__(
         self, *, log: decisionlog.DecisionLog, now: Callable[[], float]
     ):
-        """Makes a log.
+        """Creates a request log.
 
         Args:
-            log: Takes the lines.
-            now: Returns the present time in seconds.
+            log: Receives the lines.
+            now: Returns the current time in seconds.
         """
         self._log = log
         self._now = now
 
-    def note_unconfigured(self, info: dialect.RequestInfo) -> None:
-        """Writes that no configuration is known yet."""
+    def log_unconfigured(self, info: dialect.RequestInfo) -> None:
+        """Logs a refusal because no configuration is known yet."""
         self._log.note(
             "request_refused",
             request=info.request_id,
             reason="no configuration yet",
         )
 
-    def note_stopping(
+    def log_stopping(
         self,
         info: dialect.RequestInfo,
         route: routing.Route,
         ends_in_s: float,
     ) -> None:
-        """Writes that the process ends before a request would."""
+        """Logs a refusal because the process ends before the request would."""
         self._log.note(
             "request_refused",
             request=info.request_id,
@@ -50,10 +50,10 @@
             ends_in_s=round(ends_in_s, 3),
         )
 
-    def note_quarantined(
+    def log_quarantined(
         self, request: inflight.InFlight, crashes: int, left_s: float
     ) -> None:
-        """Writes that endpoints crashed under a request and its repeats."""
+        """Logs a refusal because the request has crashed endpoints before."""
         self._log.note(
             "request_refused",
             request=request.info.request_id,
@@ -64,14 +64,14 @@
             left_s=round(left_s),
         )
 
-    def note_no_route(
+    def log_no_route(
         self,
         info: dialect.RequestInfo,
         version: int,
         hostname: bytes,
         path: str,
     ) -> None:
-        """Writes that no route fits a request."""
+        """Logs that no route matches a request."""
         self._log.note(
             "no_route",
             request=info.request_id,
@@ -80,14 +80,14 @@
             path=path,
         )
 
-    def note_unauthorized(
+    def log_unauthorized(
         self,
         info: dialect.RequestInfo,
         route: routing.Route,
         version: int,
         denial: workspaces.Denial,
     ) -> None:
-        """Writes that a request bears no key that is in force."""
+        """Logs that a request has no valid key."""
         self._log.note(
             "request_unauthorized",
             request=info.request_id,
@@ -97,7 +97,7 @@
             key_ids=sorted(map(workspaces.make_key_id, info.key_digests)),
         )
 
-    def note_attempt(
+    def log_attempt(
         self,
         request: inflight.InFlight,
         endpoint: directory.Registration,
@@ -105,11 +105,11 @@
         *,
         again: bool,
     ) -> None:
-        """Writes that an attempt gave no whole answer."""
+        """Logs that an attempt ended without a complete answer."""
         now = self._now()
-        run = {}
+        run_fields = {}
         if ended.outcome is not attempts.Outcome.UNREACHED:
-            run = {
+            run_fields = {
                 "fingerprint": request.fingerprint,
                 "ran_s": _rounded(request.ran_s(now)),
                 "events": request.splitter.events,
@@ -122,15 +122,15 @@
             outcome=ended.outcome.value,
             reason=ended.reason,
             arrivals=request.history.arrivals,
-            **run,
+            **run_fields,
             left_s=round(request.left_s(now), 3),
             again=again,
         )
 
-    def note_ended(
+    def log_ended(
         self, request: inflight.InFlight, step: attempts.NextStep, reason: str
     ) -> None:
-        """Writes that no endpoint answered a request."""
+        """Logs that a request ended without an answer of an endpoint."""
         self._log.note(
             "request_ended",
             request=request.info.request_id,
@@ -144,18 +144,18 @@
             took_s=round(self._now() - request.caller.arrived_at, 4),
         )
 
-    def note_late(
+    def log_late(
         self,
         request: inflight.InFlight,
         endpoint: directory.Registration,
-        beliefs: dict[str, Any],
+        estimates: dict[str, Any],
     ) -> None:
-        """Writes that a stream began or went on too late.
+        """Logs that a stream started too late or paused for too long.
 
         Args:
-            request: Whose stream it is.
-            endpoint: Who generates it.
-            beliefs: What is believed of that engine now.
+            request: The request that is answered with the stream.
+            endpoint: The endpoint that generates the stream.
+            estimates: The current estimates of that engine's state.
         """
         pace = request.pace
         first_s = pace.first_at - request.caller.arrived_at
@@ -169,17 +169,15 @@
             longest_pause_s=round(pace.longest_pause_s, 3),
             events=request.splitter.events,
             **request.describe_plan(),
-            **beliefs,
+            **estimates,
         )
 
-    def note_broken(
-        self, request: inflight.InFlight | None, trace: str
-    ) -> None:
-        """Writes that a request's own task failed.
+    def log_broken(self, request: inflight.InFlight | None, trace: str) -> None:
+        """Logs that the task of a request raised an exception.
 
         Args:
-            request: The request, None where it was not taken yet.
-            trace: Where and why it failed.
+            request: The request, or None if it was not admitted yet.
+            trace: The traceback.
         """
         fields = {}
         if request is not None:
@@ -189,8 +187,8 @@
             }
         self._log.note("request_broken", **fields, trace=trace)
 
-    def note_timed_out(self, request: inflight.InFlight) -> None:
-        """Writes that a request's time was up."""
+    def log_timed_out(self, request: inflight.InFlight) -> None:
+        """Logs that a request's deadline passed."""
         self._log.note(
             "request_timed_out",
             request=request.info.request_id,
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of requests whose endpoints crash."""
+"""Tests of requests whose endpoints crash."""
 
 import random
 
@@ -36,12 +36,12 @@
     )
 )
 LOST = inflight.AttemptEnd(
-    outcome=attempts.Outcome.LOST, reason="reset", broke_off=True
+    outcome=attempts.Outcome.LOST, reason="reset", connection_lost=True
 )
 
 
 class Caller:
-    """A caller's request and what it is answered."""
+    """A caller's request that records its answers."""
 
     arrived_at = 0.0
     gone = False
@@ -76,19 +76,19 @@
         return outbound.BodyEnd(whole=True)
 
     def abort(self):
-        """Has no connection."""
+        """Does nothing; there is no connection."""
 
 
 class Watch:
-    """Takes note of broken answers; has their endpoints checked."""
+    """Records truncated answers, each taken for a crash if so set."""
 
     def __init__(self, ledger):
         self._ledger = ledger
-        self.noted = []
+        self.checked = []
         self.is_crash = True
 
-    def note(self, request):
-        self.noted.append(request.endpoint.id)
+    def observe_broken_answer(self, request):
+        self.checked.append(request.endpoint.id)
         if self.is_crash:
             endpoint = request.endpoint
             involvement = involve(
@@ -96,28 +96,28 @@
             )
             self._ledger.add_involvement(involvement, now=0.0)
 
-    async def settle(self, endpoint):
-        """Has nothing to wait for."""
+    async def wait_for_check(self, endpoint):
+        """Returns at once; checks take no time here."""
 
 
 class Scene:
-    """A forwarder whose attempts end as a test says."""
+    """A forwarder whose attempts end as the test specifies."""
 
     def __init__(self, *ends):
         self.clock, timers, self.broken = fakes.make_timers()
         self.ledger = crashledger.CrashLedger()
         self.watch = Watch(self.ledger)
-        self.lines = fakes.Lines()
+        self.lines = fakes.EventRecorder()
         self.endpoints = [ONE, OTHER, make_registration("e3", zone="z3")]
         self.ends = list(ends)
         self.sent = []
         self.avoided = []
-        self.whole = []
+        self.completed = []
         self.calls = self.chooser = self
         log = requestlog.RequestLog(
             log=self.lines.make(), now=lambda: timers.now
         )
-        words = dialect.Dialect(
+        fake_dialect = dialect.Dialect(
             read_request_info=lambda headers: dialect.RequestInfo(
                 request_id="r1",
                 deadline_s=3.0,
@@ -135,36 +135,36 @@
             timers=timers,
             table=lambda: TABLE,
             endpoints=None,
-            others=None,
+            peers=None,
             index=None,
         )
         self.forwarder = forwarder.Forwarder(
-            parts=forwarder.Parts(
+            dependencies=forwarder.Dependencies(
                 timers=timers,
                 admission=requestadmission.RequestAdmission(
                     timers=timers,
-                    dialect=words,
+                    dialect=fake_dialect,
                     table=lambda: TABLE,
                     ledger=self.ledger,
                     ends_in_s=lambda: None,
                     log=log,
                     rng=random.Random(1),
                 ),
-                dialect=words,
+                dialect=fake_dialect,
                 chooser=self,
                 work=work,
                 calls=self,
                 crashes=self.watch,
                 ledger=self.ledger,
-                note_whole=self.whole.append,
+                observe_completion=self.completed.append,
                 log=log,
                 rng=random.Random(1),
                 on_broken=self.broken.append,
             ),
-            new_share=lambda: retryshare.RetryShare(
+            make_retry_share=lambda: retryshare.RetryShare(
                 ratio=1.0, extra=lambda: 10, window_s=10.0
             ),
-            note_begun=lambda workspace, at: None,
+            record_run_start=lambda workspace, at: None,
         )
 
     def send(self):
@@ -172,28 +172,28 @@
         self.forwarder.handle(caller)
         return caller
 
-    # What chooses endpoints.
+    # The methods of the endpoint chooser.
 
     async def query_peers(self, request):
-        """Has no peers."""
+        """Does nothing; there are no peers."""
 
     def choose(self, request):
         self.avoided.append(request.avoid_zones)
         return self.endpoints[len(self.sent) % len(self.endpoints)]
 
-    def succeeded(self, endpoint, latency_s):
-        """Learns nothing."""
+    def observe_success(self, endpoint, latency_s):
+        """Does nothing."""
 
     def begin(self, endpoint):
-        """Keeps no count."""
+        """Does nothing."""
 
     def end(self, endpoint):
-        """Keeps no count."""
+        """Does nothing."""
 
-    def failed(self, request, endpoint, ended):
-        """Ejects nobody."""
+    def observe_failed_attempt(self, request, endpoint, ended):
+        """Does nothing; no endpoint is ejected."""
 
-    # What sends requests.
+    # The methods of `EndpointCalls`.
 
     async def run(self, request, endpoint, prefilled):
         self.sent.append(endpoint.id)
@@ -203,8 +203,8 @@
         return await ended if isinstance(ended, defer.Deferred) else ended
 
 
-def test_request_is_not_sent_on_after_its_third_crash():
-    """A request was sent to a fourth endpoint by the host that saw three."""
+def test_request_is_not_retried_after_its_third_crash():
+    """The host that saw three crashes sent the request to a fourth endpoint."""
     scene = Scene(LOST, LOST, LOST)
     caller = scene.send()
     assert scene.sent == ["e1", "e2", "e3"]
@@ -217,69 +217,70 @@
 
 
 def test_crash_sends_a_request_to_another_zone():
-    """A zone failed bit by bit, and its requests were moved within it."""
+    """A zone failed gradually, and its requests were retried within it."""
     scene = Scene(LOST, LOST, LOST)
     scene.send()
     assert scene.avoided == [set(), {"z1"}, {"z1", "z2"}]
     assert scene.send().answers
 
 
-def test_next_try_of_a_caller_avoids_the_zones_of_earlier_ones():
+def test_callers_retry_avoids_the_zones_of_earlier_crashes():
     scene = Scene(LOST, LOST, LOST)
     scene.ledger.add_involvement(
-        involve(name_request(), "e9", zone="z9"), now=0.0
+        involve(make_fingerprint(), "e9", zone="z9"), now=0.0
     )
     scene.send()
     assert scene.avoided[0] == {"z9"}
 
 
-def test_answer_that_did_not_break_off_needs_no_check():
-    """Endpoints that answered were checked, at the price of a connection."""
-    answered = attrs.evolve(LOST, broke_off=False)
+def test_complete_failure_answer_triggers_no_endpoint_check():
+    """Endpoints that answered were checked, which cost a connection each."""
+    answered = attrs.evolve(LOST, connection_lost=False)
     scene = Scene(answered, answered, answered)
     scene.send()
-    assert scene.watch.noted == []
+    assert scene.watch.checked == []
 
 
-def test_answer_under_way_goes_on_and_clears_its_request():
-    """Where it ends whole, its request was not to blame."""
+def test_whole_answer_clears_a_quarantined_request():
+    """If the answer completes, the request did not cause the crashes."""
     answer = defer.Deferred()
     scene = Scene(answer)
     caller = scene.send()
     for number in range(3):
         scene.ledger.add_involvement(
-            involve(name_request(), f"e{number}", zone=f"z{number}"), now=0.0
+            involve(make_fingerprint(), f"e{number}", zone=f"z{number}"),
+            now=0.0,
         )
     assert caller.answers == []
     answer.callback(Answer())
     assert caller.answers == [200]
-    assert scene.whole == [name_request()]
+    assert scene.completed == [make_fingerprint()]
 
 
 def test_silent_endpoint_is_checked_when_its_caller_leaves():
-    """Engines whose hosts vanished closed no connection and were not found."""
-    for silent_s, noted in ((0.5, []), (1.5, ["e1"])):
+    """Engines on vanished hosts closed no connection and went undetected."""
+    for silent_s, checked in ((0.5, []), (1.5, ["e1"])):
         scene = Scene(defer.Deferred())
         caller = scene.send()
         scene.clock.advance(silent_s)
         caller.gone = True
         caller.on_gone()
-        assert scene.watch.noted == noted
+        assert scene.watch.checked == checked
 
 
-def name_request():
-    """Returns the fingerprint of what a caller of the scene sends."""
+def make_fingerprint():
+    """Returns the fingerprint of the request that the scene sends."""
     request = inflight.InFlight(
         caller=Caller(), info=None, route=SAFE, service="llm", deadline=3.0
     )
     return request.fingerprint
 
 
-def test_request_that_breaks_its_own_task_ends_no_host():
-    """A request met a fault of the host, and so did each host after it.
+def test_unexpected_error_in_a_request_does_not_stop_the_host():
+    """A request triggers a fault in the host's code, on every host.
 
-    The process ended with all that it served, and the caller's next try took
-    the next host.
+    The process stopped and cut all its requests, and the caller's retry
+    stopped the next host.
     """
     scene = Scene(ValueError("unexpected"))
     caller = scene.send()
@@ -291,7 +292,7 @@
     assert scene.forwarder.counts["ended_broken"] == 1
 
 
-def test_stream_that_breaks_its_own_task_is_cut():
+def test_stream_with_an_unexpected_error_is_cut():
     answer = defer.Deferred()
     scene = Scene(answer)
     caller = scene.send()
--- a/packages/bulrushgrade_daemon/tests/test_inflight.py
+++ b/packages/bulrushgrade_daemon/tests/test_inflight.py
@@ -1,4 +1,4 @@
-"""Tests of a request under way."""
+"""Tests of a request in flight."""
 
 import attrs
 import pytest
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Caller:
-    """A caller that came at a time."""
+    """A caller whose request arrived at a given time."""
 
     arrived_at: float = 10.0
 
@@ -35,7 +35,7 @@
         caller=Caller(), info=None, route=route, service="llm", deadline=18.0
     )
     for at in event_times:
-        request.pace.note(at)
+        request.pace.observe_events(at)
     return request
 
 
@@ -59,7 +59,7 @@
 
 @attrs.define(kw_only=True)
 class Sent:
-    """What a caller sent."""
+    """A request as a caller sent it."""
 
     arrived_at: float = 0.0
     address: str = "10.0.0.1"
@@ -68,7 +68,7 @@
     body: bytes = b"draft"
 
 
-def name(caller, workspace=None):
+def make_fingerprint(caller, workspace=None):
     request = inflight.InFlight(
         caller=caller,
         info=None,
@@ -80,17 +80,19 @@
     return request.fingerprint
 
 
-def test_callers_next_try_has_the_same_fingerprint():
-    """A request came again from another address, and was not known."""
-    assert name(Sent()) == name(Sent(arrived_at=5.0, address="10.0.0.2"))
-    assert name(Sent()) != name(Sent(body=b""))
-    assert name(Sent()) != name(Sent(uri=b"/tag/b"))
+def test_callers_retry_has_the_same_fingerprint():
+    """A repetition from another address was not recognized."""
+    assert make_fingerprint(Sent()) == make_fingerprint(
+        Sent(arrived_at=5.0, address="10.0.0.2")
+    )
+    assert make_fingerprint(Sent()) != make_fingerprint(Sent(body=b""))
+    assert make_fingerprint(Sent()) != make_fingerprint(Sent(uri=b"/tag/b"))
 
 
 def test_same_request_of_another_workspace_is_another():
     one = workspaces.Workspace(name="dealer")
     other = workspaces.Workspace(name="lessor")
-    known = name(Sent(), one)
-    assert known == name(Sent(address="10.0.0.2"), one)
-    assert known != name(Sent(), other)
-    assert known != name(Sent())
+    known = make_fingerprint(Sent(), one)
+    assert known == make_fingerprint(Sent(address="10.0.0.2"), one)
+    assert known != make_fingerprint(Sent(), other)
+    assert known != make_fingerprint(Sent())
