--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerpass.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerpass.py
@@ -88,10 +88,10 @@
         return inflight.AttemptEnd(
             outcome=attempts.Outcome.LOST, reason=end.reason, broke_off=True
         )
-    if caller.gone:
+    if caller.is_disconnected:
         return None
     if request.history.begun:
-        caller.end()
+        caller.finish_stream()
     else:
         fields = dialect.write_answer_fields(answer.headers)
         caller.answer(answer.status, fields, b"".join(held))
@@ -118,7 +118,7 @@
     caller, splitter, answer = request.caller, request.splitter, request.call
     splitter.drop_partial()
     if request.history.begun:
-        caller.pace(answer.producer)
+        caller.set_producer(answer.producer)
 
     def take(data: bytes) -> None:
         on_heard()
@@ -128,7 +128,7 @@
             on_events(splitter.events - known_events)
         if splitter.overflowed:
             answer.abort()
-        if whole and not caller.gone:
+        if whole and not caller.is_disconnected:
             if not request.history.begun:
                 _begin(request, dialect)
             caller.write(whole)
@@ -140,11 +140,11 @@
             reason=end.reason or "ended within an event",
             broke_off=True,
         )
-    if caller.gone:
+    if caller.is_disconnected:
         return None
     if not request.history.begun:
         _begin(request, dialect)
-    caller.end()
+    caller.finish_stream()
     return None
 
 
@@ -153,5 +153,5 @@
     fields = dialect.write_answer_fields(request.call.headers)
     # A caller that reads slowly stops the endpoint instead of filling the
     # memory of this process.
-    request.caller.pace(request.call.producer)
-    request.caller.begin(request.call.status, fields, None)
+    request.caller.set_producer(request.call.producer)
+    request.caller.set_head(request.call.status, fields, None)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -23,7 +23,7 @@
 from bulrushgrade_daemon import logwriter
 from bulrushgrade_daemon import mesh
 from bulrushgrade_daemon import orders
-from bulrushgrade_daemon import placing
+from bulrushgrade_daemon import placementservice
 from bulrushgrade_daemon import settings as settings_module
 from bulrushgrade_daemon import task
 
@@ -66,7 +66,7 @@
     timers: Any
     log: logclient.LogClient
     writer: logwriter.LogWriter
-    place: placing.Placing
+    place: placementservice.PlacementService
     ties: mesh.Mesh
     orders: orders.OrderClient
     capacity: Callable[[str], tuple[float, float]]
@@ -138,7 +138,7 @@
     def receive(self, message: Any) -> None:
         """Takes engines' reports, peers' demands and accepted documents."""
         now = self._parts.timers.now
-        if isinstance(message, placing.EngineSeen):
+        if isinstance(message, placementservice.PollResult):
             if message.load is not None:
                 for group in self._groups:
                     group.observe(message.address, message.load, now)
@@ -294,7 +294,7 @@
         # the outage though it serves; if it does change, its own report and
         # its refusals keep work away, at the cost of one more attempt.
         held = held and self._parts.log.reachable
-        self._parts.place.hold(address, held=held)
+        self._parts.place.block_new_work(address, blocked=held)
 
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Parts:
+class Dependencies:
     """The services that callers' requests go through.
 
     Attributes:
@@ -34,7 +34,7 @@
         relay: Carries model requests.
         plain: Carries requests for plain services.
         service_index: Returns the accepted documents, or None before the first.
-        ready: Returns None, or why this host can't serve yet.
+        not_ready_reason: Returns None, or why this host can't serve yet.
         on_broken: Called with the reason of a broken invariant.
     """
 
@@ -42,7 +42,7 @@
     relay: relay.Relay
     plain: plainrelay.PlainRelay
     service_index: Callable[[], serviceindex.ServiceIndex | None]
-    ready: Callable[[], str | None]
+    not_ready_reason: Callable[[], str | None]
     on_broken: Callable[[str], None]
 
 
@@ -58,7 +58,7 @@
         reactor: Any,
         settings: settings_module.Settings,
         incarnation: str,
-        parts: Parts,
+        dependencies: Dependencies,
     ):
         """Makes the service.
 
@@ -66,15 +66,15 @@
             reactor: Where it listens.
             settings: The daemon's settings.
             incarnation: Tells this run of the daemon from earlier ones.
-            parts: The services it uses.
+            dependencies: The services it uses.
         """
         self._reactor = reactor
         self._settings = settings
         self._limits = settings.limits
-        self._parts = parts
+        self._dependencies = dependencies
         self._intake = intake.Intake(
-            timers=parts.timers,
-            service_index=parts.service_index,
+            timers=dependencies.timers,
+            service_index=dependencies.service_index,
             prefix=f"{settings.host.name}-{incarnation}",
         )
         self._open: set[str] = set()
@@ -129,11 +129,11 @@
         taken, and what is open is finished.
         """
         self._stopping = True
-        await self._parts.timers.sleep(self._limits.stop_grace_s)
+        await self._dependencies.timers.sleep(self._limits.stop_grace_s)
         await defer.maybeDeferred(self._port.stopListening)
-        give_up = self._parts.timers.now + self._limits.drain_limit_s
-        while self._open and self._parts.timers.now < give_up:
-            await self._parts.timers.sleep(DRAIN_CHECK_S)
+        give_up = self._dependencies.timers.now + self._limits.drain_limit_s
+        while self._open and self._dependencies.timers.now < give_up:
+            await self._dependencies.timers.sleep(DRAIN_CHECK_S)
 
     def receive(self, message: Any) -> None:
         """Takes no messages."""
@@ -152,7 +152,7 @@
         app = klein.Klein()
         app.route("/healthz", methods=["GET"])(self._health)
         app.route("/readyz", methods=["GET"])(self._readiness)
-        for path in (request_module.COMPLETIONS, request_module.CHAT):
+        for path in (request_module.COMPLETIONS_PATH, request_module.CHAT_PATH):
             app.route(path, methods=["POST"])(self._complete)
         app.route(
             f"{intake.SERVICES_PREFIX}<path:rest>",
@@ -174,7 +174,7 @@
     def _no_such(self, http_request: Any, failure: Any) -> bytes:
         status = getattr(failure.value, "code", None)
         if not isinstance(status, int):
-            self._parts.on_broken(failure.getTraceback())
+            self._dependencies.on_broken(failure.getTraceback())
             status = 500
         refused = refusal.bad_request(
             "no such path or method", status=status, code="not_found"
@@ -182,7 +182,11 @@
         return reply.refuse(http_request, refused)
 
     def _not_ready(self) -> str | None:
-        return "stopping" if self._stopping else self._parts.ready()
+        return (
+            "stopping"
+            if self._stopping
+            else self._dependencies.not_ready_reason()
+        )
 
     def _complete(self, http_request: Any) -> Any:
         self._counts["model"] += 1
@@ -194,17 +198,17 @@
             return reply.refuse(http_request, job_or_refusal)
         job, answer = job_or_refusal
         self._prepare(http_request, job)
-        answer.control(
-            timers=self._parts.timers,
+        answer.set_flow_control(
+            timers=self._dependencies.timers,
             stall_s=self._limits.stall_timeout_s,
             leave=lambda: self._leave_stalled(job),
         )
 
         async def run() -> bytes:
-            return answer.finish(await self._parts.relay.run(job))
+            return answer.finish(await self._dependencies.relay.run(job))
 
         return self._answer(
-            job.request_id, run(), lambda: self._parts.relay.leave(job)
+            job.request_id, run(), lambda: self._dependencies.relay.cancel(job)
         )
 
     def _call(self, http_request: Any, rest: str) -> Any:
@@ -216,13 +220,13 @@
         self._prepare(http_request, job)
 
         async def run() -> bytes:
-            outcome = await self._parts.plain.run(job)
+            outcome = await self._dependencies.plain.run(job)
             if isinstance(outcome, plain.PlainAnswer):
-                return reply.pass_answer(http_request, outcome)
+                return reply.forward_answer(http_request, outcome)
             return reply.refuse(http_request, outcome)
 
         def leave() -> None:
-            job.gone = True
+            job.caller_disconnected = True
 
         return self._answer(job.request_id, run(), leave)
 
@@ -246,7 +250,9 @@
             if not answered.called:
                 answered.callback(body)
 
-        task.spawn(run(), name=request_id, on_broken=self._parts.on_broken)
+        task.spawn(
+            run(), name=request_id, on_broken=self._dependencies.on_broken
+        )
         return answered
 
     def _prepare(self, http_request: Any, job: Any) -> None:
@@ -256,10 +262,10 @@
 
     def _leave_stalled(self, job: relay.ModelJob) -> None:
         self._counts["stalled"] += 1
-        self._parts.relay.leave(job)
+        self._dependencies.relay.cancel(job)
 
     def _admit(self) -> refusal.Refusal | None:
-        reason = self._parts.ready()
+        reason = self._dependencies.not_ready_reason()
         if reason is not None:
             self._counts["not_ready"] += 1
             return refusal.not_ready(reason, NOT_READY_RETRY_S)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
@@ -143,7 +143,7 @@
 
         Args:
             job: The request, with its key.
-            attempt: Runs it, asking `job.may_write` in the turn of the write.
+            attempt: Runs it; calls `job.acquire_permit` right before the write.
         """
         key = oncelog.scoped_key(
             service=job.service.service, idempotency_key=job.key
@@ -193,9 +193,11 @@
         if not isinstance(decision, oncedecision.Run):
             self._append(view.abandon(claim_id, self._timers.now))
             return self._tell(decision)
-        job.may_write = lambda: view.start(claim_id, self._timers.now)
-        job.turned_away = lambda: view.mark_not_started(claim_id)
-        job.may_retry = lambda: view.may_start(claim_id, self._timers.now)
+        job.acquire_permit = lambda: view.start(claim_id, self._timers.now)
+        job.release_permit = lambda: view.mark_not_started(claim_id)
+        job.is_permit_available = lambda: view.may_start(
+            claim_id, self._timers.now
+        )
         outcome = await attempt(job)
         self._end(view, claim_id, outcome)
         return outcome
@@ -221,7 +223,7 @@
             )
             if not isinstance(decision, oncedecision.Pending):
                 return decision
-            if now >= give_up or job.gone:
+            if now >= give_up or job.caller_disconnected:
                 return decision
             await shard.wait()
 
@@ -237,7 +239,7 @@
                 body=outcome.body,
             )
             ended = view.finish(claim_id, answer=answer, known=True, now=now)
-        elif outcome.ran is refusal.Ran.NOT_RUN:
+        elif outcome.ran is refusal.RunStatus.NOT_RUN:
             ended = view.abandon(claim_id, now)
         else:
             ended = view.finish(claim_id, answer=None, known=False, now=now)
@@ -253,7 +255,7 @@
                 status=409,
                 code="running",
                 message="a request with this key is under way",
-                ran=refusal.Ran.UNKNOWN,
+                ran=refusal.RunStatus.UNKNOWN,
                 retry_after_s=decision.retry_after_s,
             )
         if isinstance(decision, oncedecision.Unknown):
@@ -262,7 +264,7 @@
                 status=409,
                 code="outcome_unknown",
                 message="the host that ran this key did not say how it ended",
-                ran=refusal.Ran.UNKNOWN,
+                ran=refusal.RunStatus.UNKNOWN,
             )
         if isinstance(decision, errors.KeyConflict):
             return refusal.bad_request(
@@ -337,7 +339,7 @@
             status=409,
             code="already_ran",
             message="the request with this key ran; its answer is not kept",
-            ran=refusal.Ran.RAN,
+            ran=refusal.RunStatus.RAN,
         )
     headers = [(REPLAY_HEADER, "true")]
     if decision.answer.content_type:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleet.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleet.py
@@ -6,7 +6,7 @@
 
 from bulrushgrade import membership
 from bulrushgrade_daemon import engine
-from bulrushgrade_daemon import placing
+from bulrushgrade_daemon import placementservice
 from bulrushgrade_daemon import task
 
 # Reports lag anyway; reading them more often costs each engine a request a
@@ -73,6 +73,6 @@
         missed = 0 if load is not None else self._missed.get(address, 0) + 1
         if address in self._missed:
             self._missed[address] = missed
-        seen = placing.EngineSeen(address=address, load=load)
+        seen = placementservice.PollResult(address=address, load=load)
         for name in ("placing", "authority"):
             self._kernel.send(name, seen)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -26,7 +26,7 @@
 from bulrushgrade_daemon import dialect as dialect_module
 from bulrushgrade_daemon import endpointcalls
 from bulrushgrade_daemon import enginework
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import requestadmission
@@ -144,7 +144,7 @@
         """Returns what is under way."""
         return {"open": self.open_requests, "counts": self.counts}
 
-    def handle(self, caller: front.CallerRequest) -> None:
+    def handle(self, caller: frontend.CallerRequest) -> None:
         """Takes a request that was read whole."""
         try:
             request = self._admission.admit(caller)
@@ -162,7 +162,7 @@
         )
         if request not in self._open:
             return
-        caller.on_gone = running.cancel
+        caller.on_disconnect = running.cancel
 
         def expire() -> None:
             request.expired = True
@@ -182,7 +182,7 @@
         except Exception:
             self._end_broken(request.caller, request)
         finally:
-            request.caller.on_gone = None
+            request.caller.on_disconnect = None
             self._open.discard(request)
 
     async def _try_until_answered(self, request: inflight.InFlight) -> None:
@@ -374,7 +374,7 @@
         self._log.note_ended(request, step, reason)
         caller = request.caller
         if step is attempts.NextStep.CUT:
-            caller.cut()
+            caller.abort()
         elif step is attempts.NextStep.RELAY and ended and ended.failure:
             failure = ended.failure
             caller.answer(failure.status, failure.fields, failure.body)
@@ -385,18 +385,18 @@
 
     def _end_cancelled(self, request: inflight.InFlight) -> None:
         """Ends a request whose caller has left or whose time is up."""
-        if request.caller.gone:
+        if request.caller.is_disconnected:
             self._count("ended_caller_left")
             return
         self._count("ended_timeout")
         self._log.note_timed_out(request)
         if request.history.begun:
-            request.caller.cut()
+            request.caller.abort()
         else:
             request.caller.answer(http.GATEWAY_TIMEOUT, [], b"")
 
     def _end_broken(
-        self, caller: front.CallerRequest, request: inflight.InFlight | None
+        self, caller: frontend.CallerRequest, request: inflight.InFlight | None
     ) -> None:
         """Ends a request whose own task failed in a way nobody foresaw.
 
@@ -406,7 +406,7 @@
         self._count("ended_broken")
         self._log.note_broken(request, traceback.format_exc())
         if request is not None and request.history.begun:
-            caller.cut()
+            caller.abort()
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/front.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/frontend.py
@@ -24,7 +24,7 @@
     closing: Callable[[], bool]
 
     arrived_at: float = 0.0
-    on_gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
     _body = b""
     _body_bytes = 0
     _gone = False
@@ -32,7 +32,7 @@
     _paced = False
 
     @property
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the caller has left."""
         return self._gone
 
@@ -78,10 +78,10 @@
         """Tells whoever works on it that the caller has left."""
         self._gone = True
         super().connectionLost(reason)
-        if self.on_gone is not None:
-            self.on_gone()
+        if self.on_disconnect is not None:
+            self.on_disconnect()
 
-    def begin(
+    def set_head(
         self,
         status: int,
         fields: Iterable[tuple[bytes, bytes]],
@@ -105,7 +105,7 @@
         """Sends a whole answer."""
         if self._gone:
             return
-        self.begin(status, fields, len(body))
+        self.set_head(status, fields, len(body))
         self.write(body)
         self.finish()
 
@@ -114,7 +114,7 @@
         fields = [(b"retry-after", b"%.3f" % after_s)]
         self.answer(http.SERVICE_UNAVAILABLE, fields, b"")
 
-    def pace(self, producer: Any) -> None:
+    def set_producer(self, producer: Any) -> None:
         """Has the caller's reading speed pause what is passed on."""
         if self._gone:
             return
@@ -123,7 +123,7 @@
         self._paced = True
         self.registerProducer(producer, True)
 
-    def end(self) -> None:
+    def finish_stream(self) -> None:
         """Ends an answer that was sent as it came."""
         if self._gone:
             return
@@ -131,7 +131,7 @@
             self.unregisterProducer()
         self.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Ends an answer that has begun so that it does not look complete.
 
         Chunks without the last one show that something is missing. An answer
@@ -178,12 +178,16 @@
 class _Factory(httpfactory.RequestFactory):
     """Keeps the connections that are open."""
 
-    def __init__(self, *, reactor: Any, make: Callable[..., CallerRequest]):
-        super().__init__(reactor=reactor, make=make, channel_type=_Channel)
+    def __init__(
+        self, *, reactor: Any, make_request: Callable[..., CallerRequest]
+    ):
+        super().__init__(
+            reactor=reactor, make_request=make_request, channel_type=_Channel
+        )
         self.channels: set[_Channel] = set()
 
 
-class Front:
+class Frontend:
     """Listens for callers and hands each request to a function."""
 
     name = "front"
@@ -217,7 +221,9 @@
         self._handle = handle
         self._stopping = False
         self._port: Any = None
-        self._factory = _Factory(reactor=reactor, make=self._make)
+        self._factory = _Factory(
+            reactor=reactor, make_request=self._make_request
+        )
 
     @property
     def address(self) -> str:
@@ -248,7 +254,7 @@
             if channel.idle:
                 channel.loseConnection()
 
-    def announce_stop(self) -> None:
+    def begin_drain(self) -> None:
         """Has each connection close after its next answer."""
         self._stopping = True
 
@@ -259,7 +265,7 @@
         """Returns what is open."""
         return {"connections": self.connections, "stopping": self._stopping}
 
-    def _make(self, channel: Any, queued: Any = None) -> CallerRequest:
+    def _make_request(self, channel: Any, queued: Any = None) -> CallerRequest:
         request = CallerRequest(channel, queued)
         limits = self._limits()
         request.limits = limits
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
@@ -97,16 +97,16 @@
         self._services.timers.every(decisionlog.FLUSH_S, self._log.flush)
         self._log.always(
             "started",
-            callers=self._services.front.address,
+            callers=self._services.frontend.address,
             zone=self._settings.host.zone,
         )
 
     async def stop(self) -> None:
         """Stops without cutting a request, within the time to stop."""
         self._stopping = True
-        timers, front = self._services.timers, self._services.front
+        timers, frontend = self._services.timers, self._services.frontend
         requests = self._services.forwarder
-        front.announce_stop()
+        frontend.begin_drain()
         began = self._stop_began = timers.now
         limit = began + self._settings.bounds.stop_s - STOP_RESERVE_S
         self._log.always("stopping", open=requests.open_requests)
@@ -114,8 +114,8 @@
             await timers.sleep(STOP_CHECK_S)
             if timers.now - began < STOP_LISTEN_S:
                 continue
-            front.close_idle()
-            if front.connections == 0:
+            frontend.close_idle()
+            if frontend.connections == 0:
                 break
         left = requests.open_requests
         await self._kernel.stop()
@@ -166,7 +166,7 @@
             ),
         ):
             self._kernel.register(
-                pages.Pages(
+                pages.PageServer(
                     name=name,
                     reactor=reactor,
                     host=address.host,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewaypages.py
@@ -106,7 +106,7 @@
             lambda: services.follow_endpoints.counts,
         ),
     ):
-        services.metrics.add_counts(name, doc, read)
+        services.metrics.register_counts(name, doc, read)
     services.metrics.gauge(
         "open_requests",
         "Requests under way.",
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -26,7 +26,7 @@
 from bulrushgrade_daemon import fencedactions
 from bulrushgrade_daemon import follower
 from bulrushgrade_daemon import forwarder
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import gatewaymessages
 from bulrushgrade_daemon import gatewaysettings
 from bulrushgrade_daemon import loadgossip
@@ -156,7 +156,7 @@
             self._follow_peers,
             self._cache_watch,
             self._forwarder,
-            self._front,
+            self._frontend,
         ):
             context.kernel.register(service)
 
@@ -201,9 +201,9 @@
         return self._forwarder
 
     @property
-    def front(self) -> front.Front:
+    def frontend(self) -> frontend.Frontend:
         """The side towards callers."""
-        return self._front
+        return self._frontend
 
     @property
     def crashes(self) -> crashwatch.CrashWatch:
@@ -357,7 +357,7 @@
             observe=self._observe_answer,
             note_begun=lambda w, at: self._tasks.note_begun(w, at),
         )
-        self._front = front.Front(
+        self._frontend = frontend.Frontend(
             reactor=context.reactor,
             host=listen.callers.host,
             port=listen.callers.port,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -27,7 +27,7 @@
 from bulrushgrade_daemon import orders
 from bulrushgrade_daemon import peermessages
 from bulrushgrade_daemon import peers
-from bulrushgrade_daemon import placing
+from bulrushgrade_daemon import placementservice
 from bulrushgrade_daemon import plain
 from bulrushgrade_daemon import plainrelay
 from bulrushgrade_daemon import relay
@@ -101,7 +101,7 @@
 
     def build(self) -> Daemon:
         self._add_platform()
-        self._add_placing()
+        self._add_placement()
         self._add_documents()
         self._add_claims()
         self._add_peers()
@@ -138,14 +138,16 @@
             )
         )
 
-    def _add_placing(self) -> None:
+    def _add_placement(self) -> None:
         self._engines = self._add(engine.EngineClient(reactor=self._reactor))
         self._plain = self._add(plain.PlainClient(reactor=self._reactor))
         self._core = scheduler.Scheduler(
             zone=self._settings.host.zone, rng=self._rng
         )
-        self._placing = self._add(
-            placing.Placing(timers=self._timers, core=self._core)
+        self._placement = self._add(
+            placementservice.PlacementService(
+                timers=self._timers, core=self._core
+            )
         )
         self._add(
             fleet.Fleet(
@@ -171,24 +173,24 @@
             relay.Relay(
                 timers=self._timers,
                 engines=self._engines,
-                place=self._placing,
-                meters=self._make_meters(),
+                placement=self._placement,
+                latency_histograms=self._make_latency_histograms(),
             )
         )
         plain_relay = self._add(
             plainrelay.PlainRelay(
                 timers=self._timers,
                 client=self._plain,
-                place=self._placing,
+                placement=self._placement,
                 claims=self._claims,
             )
         )
-        parts = callers.Parts(
+        dependencies = callers.Dependencies(
             timers=self._timers,
             relay=model_relay,
             plain=plain_relay,
             service_index=lambda: self._documents.service_index,
-            ready=self._not_ready,
+            not_ready_reason=self._not_ready,
             on_broken=self._kernel.fail,
         )
         self._front = self._add(
@@ -196,14 +198,14 @@
                 reactor=self._reactor,
                 settings=self._settings,
                 incarnation=self._incarnation,
-                parts=parts,
+                dependencies=dependencies,
             )
         )
         return self._front
 
-    def _make_meters(self) -> relay.Meters:
+    def _make_latency_histograms(self) -> relay.LatencyHistograms:
         found = self._kernel.find("metrics")
-        return relay.Meters(
+        return relay.LatencyHistograms(
             first_token=found.histogram(
                 "first_token_seconds", "From arrival to the first token."
             ),
@@ -216,7 +218,7 @@
         found = self._kernel.find("metrics")
         for name, doc in _COUNTED.items():
             service = self._kernel.find(name)
-            found.add_counts(
+            found.register_counts(
                 f"{name}_total", doc, lambda owner=service: owner.counts
             )
         callers_service = self._kernel.find("callers")
@@ -272,7 +274,7 @@
                 listen=self._settings.listen.peers,
                 queue_messages=limits.peer_queue_messages,
                 loads_bytes_per_s=limits.peer_bytes_per_s,
-                read_loads=self._placing.own_loads,
+                read_loads=self._placement.own_loads,
                 read_demands=self._core.demand,
                 listeners=listeners,
                 rng=self._rng,
@@ -294,7 +296,7 @@
             timers=self._timers,
             log=self._log,
             writer=self._writer,
-            place=self._placing,
+            place=self._placement,
             ties=self._mesh,
             orders=order_client,
             capacity=self._core.capacity,
@@ -319,7 +321,7 @@
     def _on_peer_loads(
         self, peer: str, loads: tuple[work.PeerLoad, ...]
     ) -> None:
-        message = placing.PeerLoads(peer=peer, loads=loads)
+        message = placementservice.PeerLoads(peer=peer, loads=loads)
         self._kernel.send("placing", message)
 
     def _on_snapshot_request(self, reply_to: bytes) -> None:
@@ -338,7 +340,7 @@
             self._kernel.send("peers", peermessages.AskSnapshot())
 
     def _on_accepted(self, service_index: serviceindex.ServiceIndex) -> None:
-        self._placing.set_policies(service_index.policies())
+        self._placement.set_policies(service_index.policies())
         self._kernel.send("authority", service_index)
 
     def _not_ready(self) -> str | None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpclient.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpclient.py
@@ -30,8 +30,8 @@
 USER_TIMEOUT_MS = 4000
 # Idle connections are retired young: one that a middlebox has forgotten looks
 # open and swallows the next request.
-IDLE_S = 4.0
-CONNECTIONS_A_HOST = 64
+IDLE_TIMEOUT_S = 4.0
+MAX_IDLE_CONNECTIONS_PER_HOST = 64
 
 
 class RefusedByCheckError(Exception):
@@ -142,8 +142,8 @@
         connect_timeout_s: How long a connection may take to open.
     """
     pool = web_client.HTTPConnectionPool(reactor, persistent=persistent)
-    pool.maxPersistentPerHost = CONNECTIONS_A_HOST
-    pool.cachedConnectionTimeout = IDLE_S
+    pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS_PER_HOST
+    pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
     # Agent would silently send a request twice; attempts are ours to count.
     pool.retryAutomatically = False
     factory = _EndpointFactory(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpfactory.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpfactory.py
@@ -19,18 +19,18 @@
         self,
         *,
         reactor: Any,
-        make: Callable[..., http.Request],
+        make_request: Callable[..., http.Request],
         channel_type: type[http.HTTPChannel] = http.HTTPChannel,
     ):
         """Makes a factory.
 
         Args:
             reactor: Times idle connections.
-            make: Makes a request from its channel.
+            make_request: Makes a request from its channel.
             channel_type: The class of the channels.
         """
         super().__init__(reactor=reactor)
-        self._make = make
+        self._make_request = make_request
         self._channel_type = channel_type
 
     def startFactory(self) -> None:  # noqa: N802
@@ -46,7 +46,7 @@
         """Returns the channel of a new connection."""
         channel = self._channel_type()
         channel.factory = self
-        channel.requestFactory = self._make
+        channel.requestFactory = self._make_request
         channel.timeOut = self.timeOut
         channel._reactor = self.reactor
         channel.callLater = self.reactor.callLater
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -13,7 +13,7 @@
 from bulrushgrade import routing
 from bulrushgrade import workspaces
 from bulrushgrade_daemon import dialect
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import outbound
 
 
@@ -72,7 +72,7 @@
         avoid_zones: Availability zones where it had better not go.
     """
 
-    caller: front.CallerRequest
+    caller: frontend.CallerRequest
     info: dialect.RequestInfo
     route: routing.Route
     service: str
@@ -107,7 +107,7 @@
     @property
     def over(self) -> bool:
         """Whether nobody waits for an answer any more."""
-        return self.expired or self.caller.gone
+        return self.expired or self.caller.is_disconnected
 
     def describe_plan(self) -> dict[str, Any]:
         """Returns what its plan was made from, for a line of the log."""
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/intake.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/intake.py
@@ -64,13 +64,13 @@
         )
         if isinstance(parsed, Failure):
             return parsed.failure()
-        asked = parsed.unwrap()
+        completion_request = parsed.unwrap()
         service = self._find_model_service(
-            asked.model, http_request.getHeader(SERVICE_HEADER)
+            completion_request.model, http_request.getHeader(SERVICE_HEADER)
         )
         if isinstance(service, refusal.Refusal):
             return service
-        return self._build_model_job(http_request, asked, service)
+        return self._build_model_job(http_request, completion_request, service)
 
     def _find_model_service(
         self, name: str, wanted: str | None
@@ -94,29 +94,29 @@
     def _build_model_job(
         self,
         http_request: Any,
-        asked: request_module.Completion,
+        completion_request: request_module.CompletionRequest,
         service: document.ServiceDocument,
     ) -> tuple[relay.ModelJob, reply.ModelReply]:
         now = self._timers.now
         request_id = self._new_id()
-        prompt_tokens = work_module.estimate_tokens(asked.text)
+        prompt_tokens = work_module.estimate_tokens(completion_request.text)
         limits = servicespec.find_deadline_class(
             service.deadlines,
             prompt_tokens=prompt_tokens,
-            answer_tokens=asked.max_tokens,
+            answer_tokens=completion_request.max_tokens,
             headers=read_headers(http_request),
         )
         route = servicespec.find_route(
-            service.routes, method="POST", path=asked.path
+            service.routes, method="POST", path=completion_request.path
         )
         work = work_module.Work(
             request_id=request_id,
             service=service.service,
             team=service.team,
-            model=serviceindex.choose_model(service, asked.model),
+            model=serviceindex.choose_model(service, completion_request.model),
             prompt_tokens=prompt_tokens,
-            output_tokens=asked.max_tokens,
-            prefix=work_module.prefix_blocks(asked.text),
+            output_tokens=completion_request.max_tokens,
+            prefix=work_module.prefix_blocks(completion_request.text),
             deadline=now + limits.whole_answer_s,
             first_token_deadline=_plus(now, limits.first_token_s),
             between_tokens_s=limits.between_tokens_s,
@@ -124,18 +124,20 @@
             repeatable=route is None or route.repeatable,
         )
         answer = reply.ModelReply(
-            http_request=http_request, request_id=request_id, asked=asked
+            http_request=http_request,
+            request_id=request_id,
+            completion_request=completion_request,
         )
         job = relay.ModelJob(
             request_id=request_id,
             caller_id=_caller_id(http_request) or request_id,
-            asked=asked,
+            completion_request=completion_request,
             service=service,
             model=work.model,
             limits=limits,
             work=work,
             arrived_s=now,
-            on_event=answer.take,
+            on_event=answer.write_event,
         )
         answer.bind(job)
         return job, answer
@@ -189,7 +191,7 @@
             service=service,
             method=http_request.method.decode("latin-1"),
             path=path,
-            headers=plain.pass_headers(_all_headers(http_request)),
+            headers=plain.drop_hop_by_hop_headers(_all_headers(http_request)),
             body=http_request.content.read(),
             key=key,
             work=work_module.Work(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/metrics.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/metrics.py
@@ -177,7 +177,7 @@
         _check_suffix(name, ("_seconds",))
         return self._find(name, doc, labels, aioprometheus.Histogram, Histogram)
 
-    def add_counts(
+    def register_counts(
         self, name: str, doc: str, read: Callable[[], Mapping[str, int]]
     ) -> None:
         """Shows counts that a service keeps by itself as one family.
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/pages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/pages.py
@@ -39,7 +39,7 @@
         self.finish()
 
 
-class Pages:
+class PageServer:
     """Serves pages at one address."""
 
     requires: tuple[str, ...] = ()
@@ -78,12 +78,14 @@
     async def start(self) -> None:
         """Listens."""
 
-        def make(channel: Any, queued: Any = None) -> _PageRequest:
+        def make_request(channel: Any, queued: Any = None) -> _PageRequest:
             request = _PageRequest(channel, queued)
             request.find = self._find
             return request
 
-        factory = httpfactory.RequestFactory(reactor=self._reactor, make=make)
+        factory = httpfactory.RequestFactory(
+            reactor=self._reactor, make_request=make_request
+        )
         self._port = self._reactor.listenTCP(
             self._port_number, factory, interface=self._host
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementservice.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EngineSeen:
+class PollResult:
     """An engine's report as it was read, or that it could not be read.
 
     Attributes:
@@ -58,7 +58,7 @@
     loads: tuple[work_module.PeerLoad, ...]
 
 
-class Placing:
+class PlacementService:
     """Places requests and keeps the scheduler's view of endpoints fresh."""
 
     name = "placing"
@@ -86,7 +86,7 @@
         self._hosts: dict[str, membership.Host] = {}
         self._loads: dict[str, engine.EngineLoad] = {}
         self._endpoints: dict[str, work_module.Endpoint] = {}
-        self._held: set[str] = set()
+        self._blocked: set[str] = set()
         self._poll: Any = None
 
     @property
@@ -121,7 +121,7 @@
         """Takes lists of hosts, engines' reports and peers' loads."""
         if isinstance(message, membership.HostList):
             self._take_hosts(message.hosts)
-        elif isinstance(message, EngineSeen):
+        elif isinstance(message, PollResult):
             self._take_report(message)
         elif isinstance(message, PeerLoads):
             self._core.peer_load(message.peer, message.loads, self.now)
@@ -130,7 +130,7 @@
         """Returns the scheduler's state and the last reports."""
         return {
             "queued": len(self._waiting),
-            "held": sorted(self._held),
+            "held": sorted(self._blocked),
             "reports": {a: attrs.asdict(r) for a, r in self._loads.items()},
             "scheduler": self._core.dump(),
         }
@@ -141,15 +141,15 @@
         """Puts the accepted documents' policies in force."""
         self._core.set_policies(tuple(policies))
 
-    def hold(self, address: str, *, held: bool) -> None:
+    def block_new_work(self, address: str, *, blocked: bool) -> None:
         """Keeps new work from an engine, or no longer.
 
         Used before a planned change, so that nothing is sent to an engine
         that is about to be away.
         """
-        if held == (address in self._held):
+        if blocked == (address in self._blocked):
             return
-        (self._held.add if held else self._held.discard)(address)
+        (self._blocked.add if blocked else self._blocked.discard)(address)
         self._update_endpoints()
         self._on_changed(address)
 
@@ -257,7 +257,7 @@
             del self._loads[address]
         self._update_endpoints()
 
-    def _take_report(self, seen: EngineSeen) -> None:
+    def _take_report(self, seen: PollResult) -> None:
         if seen.address not in self._hosts:
             return
         before = self._loads.get(seen.address)
@@ -302,7 +302,7 @@
             )
         if (
             host.state is not membership.ListedState.LIVE
-            or host.address in self._held
+            or host.address in self._blocked
         ):
             state = work_module.EndpointState.LEAVING
         if load is None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/plain.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/plain.py
@@ -17,7 +17,7 @@
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 # Headers that belong to one connection, or that this host sets itself: a
 # caller that named an attempt could make its answer look like another's.
-HOP_HEADERS = frozenset({
+HOP_BY_HOP_HEADERS = frozenset({
     "connection", "keep-alive", "proxy-authenticate", "proxy-authorization",
     "te", "trailer", "transfer-encoding", "upgrade", "host",
     "content-length", "expect", "accept-encoding", "x-attempt-id",
@@ -123,7 +123,7 @@
         call: PlainCall,
         *,
         timeout_s: float,
-        once: bool = False,
+        non_repeatable: bool = False,
         check: Callable[[], bool] | None = None,
     ) -> PlainAnswer | engine.NotStarted | engine.Lost:
         """Sends one attempt and returns its whole answer or what is known.
@@ -131,13 +131,15 @@
         Args:
             call: The attempt.
             timeout_s: How long the whole answer may take.
-            once: Whether the request must not be repeated: it then goes on a
-                connection of its own, never on one whose state is uncertain.
-            check: Asked in the turn of the write; only with `once`.
+            non_repeatable: Whether the request must not be repeated. It is then
+                sent on a connection of its own, never on a pooled one, whose
+                state is uncertain.
+            check: Called in the reactor iteration of the write; only with
+                `non_repeatable`.
         """
         client = (
             httpclient.open_client(self._reactor, persistent=False, check=check)
-            if once
+            if non_repeatable
             else self._shared
         )
         answer = defer.Deferred.fromCoroutine(self._exchange(client, call))
@@ -187,19 +189,19 @@
         )
 
 
-def pass_headers(
+def drop_hop_by_hop_headers(
     headers: list[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     """Returns the headers that go through, without a connection's own."""
     return tuple(
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in HOP_BY_HOP_HEADERS
     )
 
 
 def _answer_headers(response: Any) -> tuple[tuple[str, str], ...]:
-    return pass_headers(
+    return drop_hop_by_hop_headers(
         [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, values in response.headers.getAllRawHeaders()
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/plainrelay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/plainrelay.py
@@ -8,7 +8,7 @@
 from bulrushgrade import document
 from bulrushgrade import work as work_module
 from bulrushgrade_daemon import engine
-from bulrushgrade_daemon import placing
+from bulrushgrade_daemon import placementservice
 from bulrushgrade_daemon import plain
 from bulrushgrade_daemon import refusal
 
@@ -27,13 +27,13 @@
         body: Its body.
         key: The idempotency key, or None.
         work: The request as decisions see it.
-        gone: Whether the caller has left.
+        caller_disconnected: Whether the caller has left.
         maybe_ran: Whether an attempt may have run at an endpoint.
-        may_write: Takes the permission to run a claimed request, in the
+        acquire_permit: Takes the permission to run a claimed request, in the
             turn of its write; it is given once.
-        turned_away: Gives that permission back where the endpoint answered
+        release_permit: Gives that permission back where the endpoint answered
             that it did not start the request.
-        may_retry: Whether that permission is still to be had.
+        is_permit_available: Whether that permission is still to be had.
     """
 
     request_id: str
@@ -45,11 +45,11 @@
     body: bytes
     key: str | None
     work: work_module.Work
-    gone: bool = False
+    caller_disconnected: bool = False
     maybe_ran: bool = False
-    may_write: Callable[[], bool] | None = None
-    turned_away: Callable[[], None] | None = None
-    may_retry: Callable[[], bool] | None = None
+    acquire_permit: Callable[[], bool] | None = None
+    release_permit: Callable[[], None] | None = None
+    is_permit_available: Callable[[], bool] | None = None
 
 
 class PlainRelay:
@@ -63,7 +63,7 @@
         *,
         timers: Any,
         client: plain.PlainClient,
-        place: placing.Placing,
+        placement: placementservice.PlacementService,
         claims: Any,
     ):
         """Makes the relay.
@@ -71,13 +71,13 @@
         Args:
             timers: The timer service.
             client: Sends attempts.
-            place: Places requests.
+            placement: Places requests.
             claims: Decides which host runs a request with an idempotency
                 key.
         """
         self._timers = timers
         self._client = client
-        self._placing = place
+        self._placement = placement
         self._claims = claims
         self._open = 0
         self._counts = dict.fromkeys(
@@ -107,39 +107,47 @@
         self._open += 1
         try:
             if job.work.repeatable or job.key is None:
-                outcome = await self.attempt(job)
+                outcome = await self.run_attempts(job)
             else:
-                outcome = await self._claims.run(job, self.attempt)
+                outcome = await self._claims.run(job, self.run_attempts)
         finally:
             self._open -= 1
         answered = isinstance(outcome, plain.PlainAnswer)
         self._counts["answered" if answered else "refused"] += 1
         return outcome
 
-    async def attempt(
+    async def run_attempts(
         self, job: PlainJob
     ) -> plain.PlainAnswer | refusal.Refusal:
         """Tries endpoints until one answers or no more may be tried."""
         number = 1
-        placed = await self._placing.offer(job.work)
+        placed = await self._placement.offer(job.work)
         while isinstance(placed, work_module.Placed):
             outcome = await self._send(job, placed, number)
             if isinstance(outcome, plain.PlainAnswer):
-                self._placing.finished(job.request_id, placing.COMPLETE)
+                self._placement.finished(
+                    job.request_id, placementservice.COMPLETE
+                )
                 return outcome
             final = self._judge(job, outcome)
             if final is not None:
-                self._placing.finished(job.request_id, placing.FAILED)
+                self._placement.finished(
+                    job.request_id, placementservice.FAILED
+                )
                 return final
             number += 1
-            placed = await self._placing.retry(
+            placed = await self._placement.retry(
                 job.request_id,
                 placed.endpoint,
                 0,
                 started=not isinstance(outcome, engine.NotStarted),
             )
-        ran = refusal.Ran.UNKNOWN if job.maybe_ran else refusal.Ran.NOT_RUN
-        return refusal.of_decision(placed, ran)
+        ran = (
+            refusal.RunStatus.UNKNOWN
+            if job.maybe_ran
+            else refusal.RunStatus.NOT_RUN
+        )
+        return refusal.from_decision(placed, ran)
 
     async def _send(
         self, job: PlainJob, placed: work_module.Placed, number: int
@@ -156,39 +164,46 @@
         return await self._client.send(
             call,
             timeout_s=max(0.0, job.work.deadline - self._timers.now),
-            once=not job.work.repeatable,
-            check=lambda: self._may_write(job),
+            non_repeatable=not job.work.repeatable,
+            check=lambda: self._acquire_permit(job),
         )
 
-    def _may_write(self, job: PlainJob) -> bool:
+    def _acquire_permit(self, job: PlainJob) -> bool:
         # A request past its deadline has been refused by now, or is about to
         # be; writing it would make that refusal's "not run" untrue.
         if self._timers.now >= job.work.deadline:
             return False
-        return job.may_write is None or job.may_write()
+        return job.acquire_permit is None or job.acquire_permit()
 
     def _judge(
         self, job: PlainJob, outcome: engine.NotStarted | engine.Lost
     ) -> refusal.Refusal | None:
         if isinstance(outcome, engine.NotStarted):
             self._counts["not_started"] += 1
-            if outcome.answered and job.turned_away is not None:
-                job.turned_away()
+            if outcome.answered and job.release_permit is not None:
+                job.release_permit()
         else:
             self._counts["lost_attempts"] += 1
             job.maybe_ran = True
-        ran = refusal.Ran.UNKNOWN if job.maybe_ran else refusal.Ran.NOT_RUN
+        ran = (
+            refusal.RunStatus.UNKNOWN
+            if job.maybe_ran
+            else refusal.RunStatus.NOT_RUN
+        )
         # Its work may be done and only the answer lost: a second run is what
         # must not be, so the caller is told the truth instead.
         if job.maybe_ran and not job.work.repeatable:
             return refusal.outcome_unknown()
         if self._timers.now >= job.work.deadline:
-            return refusal.late(ran)
-        if job.may_retry is not None and not job.may_retry():
+            return refusal.deadline_exceeded(ran)
+        if (
+            job.is_permit_available is not None
+            and not job.is_permit_available()
+        ):
             return refusal.Refusal(
                 status=503,
                 code="not_started_in_time",
                 message="the request was not started within its limit",
-                retry_after_s=refusal.LATE_RETRY_S,
+                retry_after_s=refusal.DEADLINE_RETRY_AFTER_S,
             )
         return None
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
@@ -14,7 +14,7 @@
 from bulrushgrade import work
 
 # After a deadline was missed: the load that caused it has to pass first.
-LATE_RETRY_S = 1.0
+DEADLINE_RETRY_AFTER_S = 1.0
 _CALLER_TO_SLOW_DOWN = frozenset(
     {
         work.RefusalCode.OVERLOADED,
@@ -23,7 +23,7 @@
 )
 
 
-class Ran(enum.Enum):
+class RunStatus(enum.Enum):
     """Whether the work of a request was done."""
 
     NOT_RUN = "not_run"
@@ -47,7 +47,7 @@
     status: int
     code: str
     message: str
-    ran: Ran = Ran.NOT_RUN
+    ran: RunStatus = RunStatus.NOT_RUN
     retry_after_s: float | None = None
 
 
@@ -66,21 +66,21 @@
     }
 
 
-def retry_header(refusal: Refusal) -> str | None:
+def format_retry_after(refusal: Refusal) -> str | None:
     """Returns the value of ``Retry-After``, in whole seconds rounded up."""
     if refusal.retry_after_s is None:
         return None
     return str(max(1, math.ceil(refusal.retry_after_s)))
 
 
-def late(ran: Ran) -> Refusal:
+def deadline_exceeded(ran: RunStatus) -> Refusal:
     """Returns the refusal of a request whose deadline has passed."""
     return Refusal(
         status=504,
         code="deadline",
         message="the answer could not be had in time",
         ran=ran,
-        retry_after_s=LATE_RETRY_S,
+        retry_after_s=DEADLINE_RETRY_AFTER_S,
     )
 
 
@@ -90,7 +90,7 @@
         status=502,
         code="outcome_unknown",
         message="the answer was lost; the request may have run",
-        ran=Ran.UNKNOWN,
+        ran=RunStatus.UNKNOWN,
     )
 
 
@@ -109,7 +109,7 @@
     )
 
 
-def of_decision(refused: work.Refused, ran: Ran) -> Refusal:
+def from_decision(refused: work.Refused, ran: RunStatus) -> Refusal:
     """Returns the refusal that tells a caller of a decision.
 
     Args:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
@@ -14,7 +14,7 @@
 from bulrushgrade import work as work_module
 from bulrushgrade_daemon import engine
 from bulrushgrade_daemon import metrics
-from bulrushgrade_daemon import placing
+from bulrushgrade_daemon import placementservice
 from bulrushgrade_daemon import refusal
 from bulrushgrade_daemon import request
 from bulrushgrade_daemon import silence
@@ -31,7 +31,7 @@
     Attributes:
         request_id: Unique in the system, made by this host.
         caller_id: The id that the caller gave, or the same.
-        asked: What the caller sent.
+        completion_request: What the caller sent.
         service: The document that it falls under.
         model: The model that it runs on.
         limits: Its deadline class.
@@ -42,16 +42,16 @@
         stream: The running attempt's stream.
         endpoint: The running attempt's engine.
         attempt_id: The running attempt's id.
-        gone: Whether the caller has left.
+        caller_disconnected: Whether the caller has left.
         paused: Whether the caller does not take more for now.
         maybe_ran: Whether an attempt may have run at an engine.
         cached_tokens: Prompt tokens that the engine had cached, if it said.
-        watch: Notices when the running attempt goes silent.
+        watchdog: Notices when the running attempt goes silent.
     """
 
     request_id: str
     caller_id: str
-    asked: request.Completion
+    completion_request: request.CompletionRequest
     service: document.ServiceDocument
     model: str
     limits: servicespec.DeadlineClass
@@ -62,29 +62,29 @@
     stream: engine.EngineStream | None = None
     endpoint: str = ""
     attempt_id: str = ""
-    gone: bool = False
+    caller_disconnected: bool = False
     paused: bool = False
     maybe_ran: bool = False
     cached_tokens: int | None = None
-    watch: silence.SilenceWatch | None = None
+    watchdog: silence.SilenceWatch | None = None
 
     def pause(self) -> None:
         """Stops reading from the engine while the caller is behind."""
         self.paused = True
         if self.stream is not None:
-            self.watch.set_paused(True)
+            self.watchdog.set_paused(True)
             self.stream.pause()
 
     def resume(self) -> None:
         """Reads on."""
         self.paused = False
         if self.stream is not None:
-            self.watch.set_paused(False)
+            self.watchdog.set_paused(False)
             self.stream.resume()
 
 
 @attrs.frozen(kw_only=True)
-class Meters:
+class LatencyHistograms:
     """Latencies as callers meet them, from arrival on, in seconds.
 
     Attributes:
@@ -107,13 +107,13 @@
         *,
         timers: Any,
         engines: engine.EngineClient,
-        place: placing.Placing,
-        meters: Meters,
+        placement: placementservice.PlacementService,
+        latency_histograms: LatencyHistograms,
     ):
-        self._meters = meters
+        self._latency_histograms = latency_histograms
         self._timers = timers
         self._engines = engines
-        self._placing = place
+        self._placement = placement
         self._jobs: dict[str, ModelJob] = {}
         self._counts = dict.fromkeys(
             (
@@ -158,13 +158,13 @@
             ],
         }
 
-    def leave(self, job: ModelJob) -> None:
+    def cancel(self, job: ModelJob) -> None:
         """Notes that the caller is gone: its engine must not work on."""
-        job.gone = True
+        job.caller_disconnected = True
         self._counts["caller_gone"] += 1
         if job.stream is not None:
             job.stream.end(engine.Lost(reason="caller gone"))
-        self._placing.cancel(job.request_id)
+        self._placement.cancel(job.request_id)
 
     async def run(self, job: ModelJob) -> refusal.Refusal | None:
         """Returns None once the caller has its whole answer, or a refusal.
@@ -187,7 +187,7 @@
             del self._jobs[job.request_id]
         if refused is None:
             took_s = self._timers.now - job.arrived_s
-            self._meters.whole_answer.observe(took_s)
+            self._latency_histograms.whole_answer.observe(took_s)
         self._counts["whole" if refused is None else "refused"] += 1
         self._counts["tokens"] += job.answer.tokens
         self._counts["duplicate_events"] += job.answer.duplicates
@@ -196,17 +196,17 @@
 
     async def _run(self, job: ModelJob) -> refusal.Refusal | None:
         attempts = itertools.count(1)
-        placed = await self._placing.offer(job.work)
+        placed = await self._placement.offer(job.work)
         while isinstance(placed, work_module.Placed):
             outcome = await self._attempt(job, placed, next(attempts))
             if isinstance(outcome, engine.Ended) and job.answer.end():
-                self._finish(job, placing.COMPLETE)
+                self._finish(job, placementservice.COMPLETE)
                 return None
             final = self._judge(job, outcome)
             if final is not None:
                 return final
             self._counts["lost_attempts"] += 1
-            placed = await self._placing.retry(
+            placed = await self._placement.retry(
                 job.request_id,
                 job.endpoint,
                 job.answer.tokens,
@@ -218,26 +218,26 @@
         self, job: ModelJob, outcome: engine.StreamOutcome
     ) -> refusal.Refusal | None:
         """Returns the refusal that ends a request, or None to try again."""
-        if job.gone:
+        if job.caller_disconnected:
             return _caller_gone()
         if isinstance(outcome, engine.Rejected):
-            self._finish(job, placing.COMPLETE)
+            self._finish(job, placementservice.COMPLETE)
             return refusal.Refusal(
                 status=outcome.status,
                 code="rejected",
                 message=outcome.message,
-                ran=refusal.Ran.UNKNOWN,
+                ran=refusal.RunStatus.UNKNOWN,
             )
         job.maybe_ran |= not isinstance(outcome, engine.NotStarted)
         if self._timers.now >= job.work.deadline:
             self._counts["late"] += 1
-            self._finish(job, placing.FAILED)
+            self._finish(job, placementservice.FAILED)
             return _late(job)
         # What must not be repeated ends here, unless it is certain that the
         # engine did not start: its work may be done, and only its answer
         # lost.
         if not job.work.repeatable and job.maybe_ran:
-            self._finish(job, placing.FAILED)
+            self._finish(job, placementservice.FAILED)
             return refusal.outcome_unknown()
         return None
 
@@ -256,7 +256,7 @@
             on_event=lambda event: self._take(job, event)
         )
         job.stream = stream
-        job.watch = silence.SilenceWatch(
+        job.watchdog = silence.SilenceWatch(
             timers=self._timers,
             stream=stream,
             deadline=job.work.deadline,
@@ -267,15 +267,15 @@
             attempt_id=job.attempt_id,
             request_id=job.caller_id,
             address=job.endpoint,
-            path=job.asked.path,
+            path=job.completion_request.path,
             body=body,
         )
         try:
             outcome = await self._engines.run_stream(call, stream)
         finally:
             job.stream = None
-            job.watch.stop()
-            job.watch = None
+            job.watchdog.stop()
+            job.watchdog = None
         if isinstance(outcome, engine.Lost):
             self._engines.cancel(job.endpoint, job.attempt_id)
         return outcome
@@ -283,7 +283,7 @@
     def _body(
         self, job: ModelJob, placed: work_module.Placed
     ) -> dict[str, Any]:
-        body = dict(job.asked.fields)
+        body = dict(job.completion_request.fields)
         body["model"] = job.model
         body["stream"] = True
         body["priority"] = placed.priority
@@ -304,18 +304,18 @@
             attempt_id=f"{job.attempt_id}p",
             request_id=job.caller_id,
             address=placed.endpoint,
-            path=job.asked.path,
+            path=job.completion_request.path,
             body={**body, "stream": False, "kv_export": True},
         )
         left_s = job.work.deadline - self._timers.now
         limit_s = silence.first_limit_s(placed.first_token_s, left_s)
         handle = await self._engines.prefill(call, limit_s)
-        if job.gone:
+        if job.caller_disconnected:
             self._engines.cancel(placed.endpoint, call.attempt_id)
             return engine.Lost(reason="caller gone")
         if isinstance(handle, Failure):
             return handle.failure()
-        self._placing.prefill_done(job.request_id)
+        self._placement.prefill_done(job.request_id)
         # The prompt was read: whatever the other engine answers, the request
         # has run in part.
         job.maybe_ran = True
@@ -333,16 +333,16 @@
         )
         if step is not answer_module.EventAction.DELIVER:
             return step is answer_module.EventAction.DROP
-        job.watch.progress()
+        job.watchdog.progress()
         if event.usage is not None:
             job.cached_tokens = _read_cached(event.usage)
         tokens = job.answer.tokens
         if tokens == 1 and event.text is not None:
-            self._placing.first_token(job.request_id)
+            self._placement.first_token(job.request_id)
             waited_s = self._timers.now - job.arrived_s
-            self._meters.first_token.observe(waited_s)
+            self._latency_histograms.first_token.observe(waited_s)
         elif tokens % PROGRESS_TOKENS == 0:
-            self._placing.tokens(job.request_id, tokens)
+            self._placement.tokens(job.request_id, tokens)
         job.on_event(event)
         return True
 
@@ -353,8 +353,8 @@
             job.stream.end(engine.Lost(reason="deadline"))
 
     def _finish(self, job: ModelJob, outcome: str) -> None:
-        self._placing.tokens(job.request_id, job.answer.tokens)
-        self._placing.finished(job.request_id, outcome, job.cached_tokens)
+        self._placement.tokens(job.request_id, job.answer.tokens)
+        self._placement.finished(job.request_id, outcome, job.cached_tokens)
 
 
 def _read_cached(usage: dict[str, Any]) -> int | None:
@@ -367,15 +367,23 @@
         status=499,
         code="caller_gone",
         message="the caller has left",
-        ran=refusal.Ran.UNKNOWN,
+        ran=refusal.RunStatus.UNKNOWN,
     )
 
 
 def _late(job: ModelJob) -> refusal.Refusal:
-    ran = refusal.Ran.UNKNOWN if job.maybe_ran else refusal.Ran.NOT_RUN
-    return refusal.late(ran)
+    ran = (
+        refusal.RunStatus.UNKNOWN
+        if job.maybe_ran
+        else refusal.RunStatus.NOT_RUN
+    )
+    return refusal.deadline_exceeded(ran)
 
 
 def _refuse(refused: work_module.Refused, job: ModelJob) -> refusal.Refusal:
-    ran = refusal.Ran.UNKNOWN if job.maybe_ran else refusal.Ran.NOT_RUN
-    return refusal.of_decision(refused, ran)
+    ran = (
+        refusal.RunStatus.UNKNOWN
+        if job.maybe_ran
+        else refusal.RunStatus.NOT_RUN
+    )
+    return refusal.from_decision(refused, ran)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/reply.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/reply.py
@@ -20,13 +20,13 @@
     """Sets the head of a refusal and returns its body."""
     http_request.setResponseCode(refused.status)
     http_request.setHeader("Content-Type", "application/json")
-    after = refusal.retry_header(refused)
+    after = refusal.format_retry_after(refused)
     if after is not None:
         http_request.setHeader("Retry-After", after)
     return refusal.serialize_refusal(refused)
 
 
-def pass_answer(http_request: Any, answer: plain.PlainAnswer) -> bytes:
+def forward_answer(http_request: Any, answer: plain.PlainAnswer) -> bytes:
     """Sets the head of a plain service's answer and returns its body."""
     http_request.setResponseCode(answer.status)
     for name, value in answer.headers:
@@ -42,11 +42,11 @@
         *,
         http_request: Any,
         request_id: str,
-        asked: request.Completion,
+        completion_request: request.CompletionRequest,
     ):
         self._http = http_request
         self._id = request_id
-        self._asked = asked
+        self._completion_request = completion_request
         self._job: relay.ModelJob | None = None
         self._texts: list[str] = []
         self._last: engine.Event | None = None
@@ -62,7 +62,7 @@
         """Ties the reply to the request that it answers."""
         self._job = job
 
-    def control(
+    def set_flow_control(
         self, *, timers: Any, stall_s: float, leave: Callable[[], None]
     ) -> None:
         """Passes the caller's reading speed on to the engine.
@@ -100,9 +100,9 @@
 
         self._control = site.FlowControl(pause=pause, resume=resume, stop=stop)
 
-    def take(self, event: engine.Event) -> None:
+    def write_event(self, event: engine.Event) -> None:
         """Takes an event of the answer, in order."""
-        if not self._asked.stream:
+        if not self._completion_request.stream:
             self._last = event
             if event.text is not None:
                 self._texts.append(event.text)
@@ -118,7 +118,9 @@
         if self._begun and self._channel is not None:
             self._http.unregisterProducer()
         if refused is None:
-            return DONE_EVENT if self._asked.stream else self._whole()
+            return (
+                DONE_EVENT if self._completion_request.stream else self._whole()
+            )
         if not self._begun:
             return refuse(self._http, refused)
         # The status is long sent; the missing end marker and this event tell
@@ -139,7 +141,7 @@
             "index": 0,
             "finish_reason": self._last.finish_reason,
         }
-        if self._asked.chat:
+        if self._completion_request.is_chat:
             choice["message"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
@@ -147,7 +149,9 @@
             {
                 "id": self._id,
                 "object": (
-                    "chat.completion" if self._asked.chat else "text_completion"
+                    "chat.completion"
+                    if self._completion_request.is_chat
+                    else "text_completion"
                 ),
                 "model": self._job.model,
                 "choices": [choice],
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
@@ -10,20 +10,20 @@
 
 from bulrushgrade_daemon import refusal
 
-COMPLETIONS = "/v1/completions"
-CHAT = "/v1/chat/completions"
+COMPLETIONS_PATH = "/v1/completions"
+CHAT_PATH = "/v1/chat/completions"
 # What an answer is expected to take where the caller sets no limit.
 DEFAULT_MAX_TOKENS = 256
 MAX_MAX_TOKENS = 1_000_000
 # Fields that the daemon sets itself on the way to an engine.
-OWN_FIELDS = frozenset({
+RESERVED_FIELDS = frozenset({
     "stream", "priority", "resume_tokens", "kv_export", "kv_import", "model",
     "stream_options",
 })  # fmt: skip
 
 
 @attrs.frozen(kw_only=True)
-class Completion:
+class CompletionRequest:
     """A request for a model.
 
     Attributes:
@@ -43,14 +43,14 @@
     fields: dict[str, Any]
 
     @property
-    def chat(self) -> bool:
+    def is_chat(self) -> bool:
         """Whether the answer has the form of a chat."""
-        return self.path == CHAT
+        return self.path == CHAT_PATH
 
 
 def parse_completion(
     raw: bytes, path: str
-) -> Result[Completion, refusal.Refusal]:
+) -> Result[CompletionRequest, refusal.Refusal]:
     """Parses and checks the JSON body of a request for a model.
 
     Args:
@@ -83,10 +83,10 @@
         )
     if body.get("n", 1) != 1:
         return _bad("'n' must be 1: one answer a request")
-    fields = {k: v for k, v in body.items() if k not in OWN_FIELDS}
+    fields = {k: v for k, v in body.items() if k not in RESERVED_FIELDS}
     fields["max_tokens"] = max_tokens
     return Success(
-        Completion(
+        CompletionRequest(
             path=path,
             model=model,
             text=text.unwrap(),
@@ -100,7 +100,7 @@
 def _parse_text(
     body: dict[str, Any], path: str
 ) -> Result[str, refusal.Refusal]:
-    if path == COMPLETIONS:
+    if path == COMPLETIONS_PATH:
         prompt = body.get("prompt")
         if not isinstance(prompt, str):
             return _bad("'prompt' must be a string")
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/requestadmission.py
@@ -11,7 +11,7 @@
 from bulrushgrade import routing
 from bulrushgrade import workspaces
 from bulrushgrade_daemon import dialect as dialect_module
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import requestlog
 
@@ -56,7 +56,7 @@
         """Requests that were not taken, by the reason."""
         return dict(self._counts)
 
-    def admit(self, caller: front.CallerRequest) -> inflight.InFlight | None:
+    def admit(self, caller: frontend.CallerRequest) -> inflight.InFlight | None:
         """Returns a request that is taken; answers one that is not."""
         info = self._dialect.read_request_info(caller.requestHeaders)
         table = self._table()
@@ -117,7 +117,7 @@
         return True
 
     def _refuse(
-        self, caller: front.CallerRequest, info: dialect_module.RequestInfo
+        self, caller: frontend.CallerRequest, info: dialect_module.RequestInfo
     ) -> None:
         caller.refuse(
             retryshare.choose_retry_after_s(info.deadline_s, self._rng)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/zmqreactor.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/zmqreactor.py
@@ -17,7 +17,7 @@
 
 # Messages handled in one turn. A peer that sends a flood must not keep the
 # reactor from relaying tokens; 50 small messages take about a millisecond.
-MESSAGES_A_TURN = 50
+MAX_MESSAGES_PER_ITERATION = 50
 
 
 @implementer(interfaces.IReadDescriptor)
@@ -67,7 +67,7 @@
 
     def doRead(self) -> None:  # noqa: N802
         """Reads what has come; called by the reactor."""
-        for _ in range(MESSAGES_A_TURN):
+        for _ in range(MAX_MESSAGES_PER_ITERATION):
             if self._socket.closed:
                 return
             try:
--- a/packages/bulrushgrade_daemon/tests/callerload.py
+++ b/packages/bulrushgrade_daemon/tests/callerload.py
@@ -28,13 +28,13 @@
         self._name = name
         self._numbers = itertools.count()
         self._stopping = threading.Event()
-        self._answers: list[scene.Streamed] = []
+        self._answers: list[scene.StreamedAnswer] = []
         self._threads = [
             threading.Thread(target=self._ask) for _ in range(callers)
         ]
 
     @property
-    def answers(self) -> list[scene.Streamed]:
+    def answers(self) -> list[scene.StreamedAnswer]:
         """What has been answered so far."""
         return list(self._answers)
 
--- a/packages/bulrushgrade_daemon/tests/scene.py
+++ b/packages/bulrushgrade_daemon/tests/scene.py
@@ -111,7 +111,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Streamed:
+class StreamedAnswer:
     """What a caller saw of one streamed answer.
 
     Attributes:
@@ -322,7 +322,7 @@
     urgent: bool = False,
     on_token: Callable[[int], None] = lambda count: None,
     limit_s: float = processes.LIMIT_S,
-) -> Streamed:
+) -> StreamedAnswer:
     """Asks for a streamed answer whose prompt is the request's id.
 
     Args:
@@ -349,7 +349,7 @@
         seen = _read_stream(response, request_id, on_token)
         return attrs.evolve(seen, took_s=time.monotonic() - start_s)
     except (OSError, http.client.HTTPException):
-        return Streamed(request_id=request_id, code=0)
+        return StreamedAnswer(request_id=request_id, code=0)
     finally:
         connection.close()
 
@@ -358,16 +358,16 @@
     response: http.client.HTTPResponse,
     request_id: str,
     on_token: Callable[[int], None],
-) -> Streamed:
+) -> StreamedAnswer:
     code = response.status
     if code != 200:
         error = json.loads(response.read())["error"]
-        return Streamed(request_id=request_id, code=code, error=error)
+        return StreamedAnswer(request_id=request_id, code=code, error=error)
     tokens: list[str] = []
     error = None
     for event in _read_events(response):
         if event == "[DONE]":
-            return Streamed(
+            return StreamedAnswer(
                 request_id=request_id,
                 code=code,
                 tokens=tuple(tokens),
@@ -380,7 +380,7 @@
             assert value["index"] == len(tokens)
             tokens.append(text)
             on_token(len(tokens))
-    return Streamed(
+    return StreamedAnswer(
         request_id=request_id, code=code, tokens=tuple(tokens), error=error
     )
 
@@ -393,7 +393,7 @@
 
 def stream_many(
     address: str, request_ids: list[str], **options: Any
-) -> list[Streamed]:
+) -> list[StreamedAnswer]:
     """Asks for several streamed answers at once, each as `stream` does."""
     with concurrent.futures.ThreadPoolExecutor(len(request_ids)) as pool:
         asked = [
@@ -403,7 +403,7 @@
         return [each.result() for each in asked]
 
 
-def assert_whole(answers: list[Streamed], max_tokens: int) -> None:
+def assert_whole(answers: list[StreamedAnswer], max_tokens: int) -> None:
     """Checks that every answer is the one that nothing cut."""
     for answer in answers:
         assert answer.whole, answer
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -44,8 +44,8 @@
     """A caller's request and what it is answered."""
 
     arrived_at = 0.0
-    gone = False
-    on_gone = None
+    is_disconnected = False
+    on_disconnect = None
     address = "10.0.0.1"
     method = b"GET"
     uri = path = b"/a"
@@ -61,7 +61,7 @@
     def refuse(self, after_s):
         self.answers.append(("refused", after_s))
 
-    def cut(self):
+    def abort(self):
         self.answers.append("cut")
 
 
@@ -262,8 +262,8 @@
         scene = Scene(defer.Deferred())
         caller = scene.send()
         scene.clock.advance(silent_s)
-        caller.gone = True
-        caller.on_gone()
+        caller.is_disconnected = True
+        caller.on_disconnect()
         assert scene.watch.noted == noted
 
 
--- a/packages/bulrushgrade_daemon/tests/test_metrics.py
+++ b/packages/bulrushgrade_daemon/tests/test_metrics.py
@@ -43,7 +43,7 @@
 def test_counts_of_a_service_are_read_anew_each_time():
     service = metrics.Metrics()
     counts = {"whole": 1}
-    service.add_counts("relay_answers_total", "Answers.", lambda: counts)
+    service.register_counts("relay_answers_total", "Answers.", lambda: counts)
     service.render()
     counts.update(whole=5, late=2)
     lines = service.render().decode().splitlines()
--- a/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
+++ b/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
@@ -71,7 +71,7 @@
     near, far = pair
     got = []
     reactor, connection = open_connection(near, got.append)
-    count = 2 * zmqreactor.MESSAGES_A_TURN + 20
+    count = 2 * zmqreactor.MAX_MESSAGES_PER_ITERATION + 20
     for number in range(count):
         far.send(b"%d" % number)
     sizes = []
@@ -79,7 +79,7 @@
         assert near.poll(WAIT_MS)
         connection.doRead()
         sizes.append(len(got) - sum(sizes))
-    assert max(sizes) <= zmqreactor.MESSAGES_A_TURN
+    assert max(sizes) <= zmqreactor.MAX_MESSAGES_PER_ITERATION
     connection.close()
     reactor.advance(0)
 
