--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/__main__.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/__main__.py
@@ -35,7 +35,7 @@
         self._reactor = reactor
         self._exit_code = EXIT_OK
         self._stopping = False
-        self._daemon = host.build(settings, reactor, on_broken=self._broken)
+        self._daemon = host.build(settings, reactor, on_broken=self._on_broken)
 
     def run(self) -> int:
         """Runs until it is told to stop; returns the exit code."""
@@ -49,13 +49,15 @@
         self._reactor.callFromThread(self._stop)
 
     def _start(self) -> None:
-        task.spawn(self._open(), name="start", on_broken=self._broken)
+        task.spawn(
+            self._start_services(), name="start", on_broken=self._on_broken
+        )
 
-    async def _open(self) -> None:
+    async def _start_services(self) -> None:
         try:
             await self._daemon.kernel.start()
         except internet_error.CannotListenError as error:
-            self._broken(f"can't open an address: {error}")
+            self._on_broken(f"can't open an address: {error}")
             return
         addresses = {
             "name": self._settings.host.name,
@@ -70,14 +72,16 @@
             return
         self._stopping = True
         logging.info("stopping: open requests are finished first")
-        task.spawn(self._close(), name="stop", on_broken=self._broken)
+        task.spawn(
+            self._stop_services(), name="stop", on_broken=self._on_broken
+        )
 
-    async def _close(self) -> None:
+    async def _stop_services(self) -> None:
         await self._daemon.kernel.stop()
         logging.info("stopped")
         self._reactor.stop()
 
-    def _broken(self, reason: str) -> None:
+    def _on_broken(self, reason: str) -> None:
         logging.error("broken invariant, stopping: %s", reason)
         self._exit_code = EXIT_BROKEN
         if self._reactor.running:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -144,34 +144,34 @@
             "address": self.address if self._port else None,
             "open": len(self._open),
             "stopping": self._stopping,
-            "not_ready": self._not_ready(),
+            "not_ready": self._not_ready_reason(),
             "counts": dict(self._counts),
         }
 
     def _app(self) -> klein.Klein:
         app = klein.Klein()
-        app.route("/healthz", methods=["GET"])(self._health)
-        app.route("/readyz", methods=["GET"])(self._readiness)
+        app.route("/healthz", methods=["GET"])(self._serve_health)
+        app.route("/readyz", methods=["GET"])(self._serve_readiness)
         for path in (request_module.COMPLETIONS_PATH, request_module.CHAT_PATH):
-            app.route(path, methods=["POST"])(self._complete)
+            app.route(path, methods=["POST"])(self._handle_completion)
         app.route(
             f"{intake.SERVICES_PREFIX}<path:rest>",
             methods=list(METHODS),
             merge_slashes=False,
-        )(self._call)
-        app.handle_errors(Exception)(self._no_such)
+        )(self._handle_plain_request)
+        app.handle_errors(Exception)(self._handle_error)
         return app
 
-    def _health(self, http_request: Any) -> bytes:
+    def _serve_health(self, http_request: Any) -> bytes:
         return b"ok\n"
 
-    def _readiness(self, http_request: Any) -> bytes:
-        reason = self._not_ready()
+    def _serve_readiness(self, http_request: Any) -> bytes:
+        reason = self._not_ready_reason()
         if reason is not None:
             http_request.setResponseCode(503)
         return f"{reason or 'ready'}\n".encode()
 
-    def _no_such(self, http_request: Any, failure: Any) -> bytes:
+    def _handle_error(self, http_request: Any, failure: Any) -> bytes:
         status = getattr(failure.value, "code", None)
         if not isinstance(status, int):
             self._dependencies.on_broken(failure.getTraceback())
@@ -181,43 +181,45 @@
         )
         return reply.refuse(http_request, refused)
 
-    def _not_ready(self) -> str | None:
+    def _not_ready_reason(self) -> str | None:
         return (
             "stopping"
             if self._stopping
             else self._dependencies.not_ready_reason()
         )
 
-    def _complete(self, http_request: Any) -> Any:
+    def _handle_completion(self, http_request: Any) -> Any:
         self._counts["model"] += 1
-        job_or_refusal = self._admit() or self._intake.make_model_job(
+        job_or_refusal = self._check_admission() or self._intake.make_model_job(
             http_request
         )
         if isinstance(job_or_refusal, refusal.Refusal):
             self._counts["bad"] += 1
             return reply.refuse(http_request, job_or_refusal)
         job, answer = job_or_refusal
-        self._prepare(http_request, job)
+        self._set_headers(http_request, job)
         answer.set_flow_control(
             timers=self._dependencies.timers,
             stall_s=self._limits.stall_timeout_s,
-            leave=lambda: self._leave_stalled(job),
+            on_stall=lambda: self._cancel_stalled(job),
         )
 
         async def run() -> bytes:
             return answer.finish(await self._dependencies.relay.run(job))
 
-        return self._answer(
+        return self._run_detached(
             job.request_id, run(), lambda: self._dependencies.relay.cancel(job)
         )
 
-    def _call(self, http_request: Any, rest: str) -> Any:
+    def _handle_plain_request(self, http_request: Any, rest: str) -> Any:
         self._counts["plain"] += 1
-        job = self._admit() or self._intake.make_plain_job(http_request)
+        job = self._check_admission() or self._intake.make_plain_job(
+            http_request
+        )
         if isinstance(job, refusal.Refusal):
             self._counts["bad"] += 1
             return reply.refuse(http_request, job)
-        self._prepare(http_request, job)
+        self._set_headers(http_request, job)
 
         async def run() -> bytes:
             outcome = await self._dependencies.plain.run(job)
@@ -225,13 +227,13 @@
                 return reply.forward_answer(http_request, outcome)
             return reply.refuse(http_request, outcome)
 
-        def leave() -> None:
+        def on_disconnect() -> None:
             job.caller_disconnected = True
 
-        return self._answer(job.request_id, run(), leave)
+        return self._run_detached(job.request_id, run(), on_disconnect)
 
-    def _answer(
-        self, request_id: str, work: Any, leave: Callable[[], None]
+    def _run_detached(
+        self, request_id: str, work: Any, on_disconnect: Callable[[], None]
     ) -> defer.Deferred:
         """Runs the work of a request apart from the caller's connection.
 
@@ -239,7 +241,7 @@
         whose outcome has to be noted, so the connection's end is told to the
         work instead of cancelling it.
         """
-        answered: defer.Deferred = defer.Deferred(lambda _: leave())
+        answered: defer.Deferred = defer.Deferred(lambda _: on_disconnect())
         self._open.add(request_id)
 
         async def run() -> None:
@@ -255,16 +257,16 @@
         )
         return answered
 
-    def _prepare(self, http_request: Any, job: Any) -> None:
+    def _set_headers(self, http_request: Any, job: Any) -> None:
         http_request.setHeader(intake.REQUEST_HEADER, job.caller_id)
         if self._stopping:
             http_request.setHeader("Connection", "close")
 
-    def _leave_stalled(self, job: relay.ModelJob) -> None:
+    def _cancel_stalled(self, job: relay.ModelJob) -> None:
         self._counts["stalled"] += 1
         self._dependencies.relay.cancel(job)
 
-    def _admit(self) -> refusal.Refusal | None:
+    def _check_admission(self) -> refusal.Refusal | None:
         reason = self._dependencies.not_ready_reason()
         if reason is not None:
             self._counts["not_ready"] += 1
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/engine.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/engine.py
@@ -247,7 +247,7 @@
         events = (self._buffer + data).split(EVENT_END)
         self._buffer = events.pop()
         for event in events:
-            self._take(event)
+            self._handle_event(event)
             if self._outcome is not None:
                 return
         if len(self._buffer) > MAX_EVENT_BYTES:
@@ -261,7 +261,7 @@
         # like one that has finished; only the end marker tells them apart.
         self.end(Lost(reason="stream ended without its end marker"))
 
-    def _take(self, event: bytes) -> None:
+    def _handle_event(self, event: bytes) -> None:
         if not event.startswith(DATA_PREFIX):
             return
         raw = event[len(DATA_PREFIX) :]
@@ -313,11 +313,11 @@
         sent = self._send(call)
         # The owner's end (a timeout, a caller gone) must not wait for an
         # engine that never answers its headers.
-        stream.done.addCallback(_cancel_and_pass, sent)
+        stream.done.addCallback(_cancel_request, sent)
         try:
             response = await sent
         except Exception as error:
-            stream.end(_outcome_of_error(error))
+            stream.end(_outcome_from_error(error))
             return stream.outcome
         if stream.outcome is not None:
             return stream.outcome
@@ -326,7 +326,7 @@
             return stream.outcome
         response.deliverBody(stream)
         if stream.outcome is None:
-            await _wait(stream.done)
+            await _wait_for(stream.done)
         return stream.outcome
 
     async def prefill(
@@ -356,7 +356,7 @@
         """Reads an engine's report of its load and state."""
         try:
             call = self._control.http.get(f"http://{address}/load")
-            raw = await _content(call, self._reactor)
+            raw = await _read_content(call, self._reactor)
             return Success(msgspec.json.decode(raw, type=EngineLoad))
         except Exception as error:
             return Failure(Lost(reason=type(error).__name__))
@@ -382,7 +382,7 @@
             answer = msgspec.json.decode(await treq.content(response))
             return Success(str(answer["kv_handle"]))
         except Exception as error:
-            return Failure(_outcome_of_error(error))
+            return Failure(_outcome_from_error(error))
 
     async def _read_refusal(self, response: Any) -> StreamOutcome:
         try:
@@ -404,12 +404,12 @@
         return Lost(reason=f"engine answered {response.code}")
 
 
-def _cancel_and_pass(outcome: Any, sent: defer.Deferred) -> Any:
+def _cancel_request(outcome: Any, sent: defer.Deferred) -> Any:
     sent.cancel()
     return outcome
 
 
-async def _wait(done: defer.Deferred) -> None:
+async def _wait_for(done: defer.Deferred) -> None:
     waiter: defer.Deferred = defer.Deferred()
 
     def fired(outcome: Any) -> Any:
@@ -420,7 +420,7 @@
     await waiter
 
 
-async def _content(call: defer.Deferred, reactor: Any) -> bytes:
+async def _read_content(call: defer.Deferred, reactor: Any) -> bytes:
     answer = call.addCallback(treq.content)
     return await answer.addTimeout(CONTROL_TIMEOUT_S, reactor)
 
@@ -432,7 +432,7 @@
         return None
 
 
-def _outcome_of_error(error: Exception) -> StreamOutcome:
+def _outcome_from_error(error: Exception) -> StreamOutcome:
     if httpclient.was_not_sent(error):
         return NotStarted(reason=f"not sent: {error}")
     if isinstance(error, web_client.ResponseNeverReceived):
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -374,7 +374,7 @@
         self._log.note_ended(request, step, reason)
         caller = request.caller
         if step is attempts.NextStep.CUT:
-            caller.abort()
+            caller.abort_connection()
         elif step is attempts.NextStep.RELAY and ended and ended.failure:
             failure = ended.failure
             caller.answer(failure.status, failure.fields, failure.body)
@@ -391,7 +391,7 @@
         self._count("ended_timeout")
         self._log.note_timed_out(request)
         if request.history.begun:
-            request.caller.abort()
+            request.caller.abort_connection()
         else:
             request.caller.answer(http.GATEWAY_TIMEOUT, [], b"")
 
@@ -406,7 +406,7 @@
         self._count("ended_broken")
         self._log.note_broken(request, traceback.format_exc())
         if request is not None and request.history.begun:
-            caller.abort()
+            caller.abort_connection()
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/frontend.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/frontend.py
@@ -21,20 +21,20 @@
 
     limits: routing.CallerLimits
     handle: Callable[["CallerRequest"], None]
-    closing: Callable[[], bool]
+    is_closing: Callable[[], bool]
 
     arrived_at: float = 0.0
     on_disconnect: Callable[[], None] | None = None
     _body = b""
     _body_bytes = 0
-    _gone = False
-    _too_large = False
-    _paced = False
+    _is_disconnected = False
+    _body_too_large = False
+    _has_producer = False
 
     @property
     def is_disconnected(self) -> bool:
         """Whether the caller has left."""
-        return self._gone
+        return self._is_disconnected
 
     @property
     def address(self) -> str:
@@ -64,7 +64,7 @@
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
         """Passes the request on as it came, without parsing its body."""
-        if self._too_large:
+        if self._body_too_large:
             return
         # Twisted closes what it has read when the caller leaves.
         self._body = self.content.getvalue()
@@ -76,7 +76,7 @@
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
         """Tells whoever works on it that the caller has left."""
-        self._gone = True
+        self._is_disconnected = True
         super().connectionLost(reason)
         if self.on_disconnect is not None:
             self.on_disconnect()
@@ -95,7 +95,7 @@
             self.responseHeaders.setRawHeaders(
                 b"content-length", [b"%d" % length]
             )
-        if self.closing():
+        if self.is_closing():
             self.responseHeaders.setRawHeaders(b"connection", [b"close"])
             self.channel.persistent = False
 
@@ -103,7 +103,7 @@
         self, status: int, fields: Iterable[tuple[bytes, bytes]], body: bytes
     ) -> None:
         """Sends a whole answer."""
-        if self._gone:
+        if self._is_disconnected:
             return
         self.set_head(status, fields, len(body))
         self.write(body)
@@ -116,28 +116,28 @@
 
     def set_producer(self, producer: Any) -> None:
         """Has the caller's reading speed pause what is passed on."""
-        if self._gone:
+        if self._is_disconnected:
             return
-        if self._paced:
+        if self._has_producer:
             self.unregisterProducer()
-        self._paced = True
+        self._has_producer = True
         self.registerProducer(producer, True)
 
     def finish_stream(self) -> None:
         """Ends an answer that was sent as it came."""
-        if self._gone:
+        if self._is_disconnected:
             return
-        if self._paced:
+        if self._has_producer:
             self.unregisterProducer()
         self.finish()
 
-    def abort(self) -> None:
+    def abort_connection(self) -> None:
         """Ends an answer that has begun so that it does not look complete.
 
         Chunks without the last one show that something is missing. An answer
         that ends with its connection has only the reset to show it.
         """
-        if self._gone:
+        if self._is_disconnected:
             return
         if self.clientproto == b"HTTP/1.1":
             self.channel.loseConnection()
@@ -145,9 +145,9 @@
             self.channel.transport.abortConnection()
 
     def _refuse_body(self) -> None:
-        if self._too_large:
+        if self._body_too_large:
             return
-        self._too_large = True
+        self._body_too_large = True
         # The rest of the body is not read, so the connection can't go on. The
         # request line has been read, but Twisted tells it only with the body.
         self.channel.persistent = False
@@ -161,7 +161,7 @@
     """A caller's connection."""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is under way."""
         return not self.requests
 
@@ -228,8 +228,8 @@
     @property
     def address(self) -> str:
         """Where callers reach it, ``IP:PORT``."""
-        found = self._port.getHost()
-        return f"{found.host}:{found.port}"
+        bound = self._port.getHost()
+        return f"{bound.host}:{bound.port}"
 
     @property
     def connections(self) -> int:
@@ -251,7 +251,7 @@
     def close_idle(self) -> None:
         """Closes the connections that have no request under way."""
         for channel in list(self._factory.channels):
-            if channel.idle:
+            if channel.is_idle:
                 channel.loseConnection()
 
     def begin_drain(self) -> None:
@@ -272,7 +272,7 @@
         # Twisted counts the timeout of an idle connection from the last
         # byte, so a change takes effect with the next request.
         channel.timeOut = limits.idle_timeout_s
-        request.closing = lambda: self._stopping
+        request.is_closing = lambda: self._stopping
         request.handle = self._receive_request
         return request
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpclient.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpclient.py
@@ -43,7 +43,7 @@
 
 
 @implementer(interfaces.IStreamClientEndpoint)
-class _GuardedEndpoint:
+class _CheckedEndpoint:
     """Connects, sets socket options, then asks a check before the write.
 
     Agent writes the request in the same turn in which `connect` fires. A
@@ -97,14 +97,14 @@
         self._check = check
         self._connect_timeout_s = connect_timeout_s
 
-    def endpointForURI(self, uri: Any) -> _GuardedEndpoint:  # noqa: N802
+    def endpointForURI(self, uri: Any) -> _CheckedEndpoint:  # noqa: N802
         inner = endpoints.TCP4ClientEndpoint(
             self._reactor,
             uri.host.decode("ascii"),
             uri.port,
             timeout=self._connect_timeout_s,
         )
-        return _GuardedEndpoint(inner=inner, check=self._check)
+        return _CheckedEndpoint(inner=inner, check=self._check)
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/metrics.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/metrics.py
@@ -1,7 +1,7 @@
 """Counters, gauges and latency histograms of one daemon.
 
-Services hold a cell for each time series and change plain numbers in it; the
-cells are copied into an aioprometheus registry when somebody asks. Changing
+Services hold a metric for each time series and change plain numbers in it; the
+metrics are copied into an aioprometheus registry when somebody asks. Changing
 a series inside the registry costs some 3 us a time, as it encodes the labels
 anew, and a streamed answer touches several series for each token.
 """
@@ -103,12 +103,12 @@
     """The series of one name."""
 
     collector: Any
-    cell_type: type
-    cells: dict[_Labels, Any] = attrs.field(factory=dict)
+    metric_type: type
+    metrics: dict[_Labels, Any] = attrs.field(factory=dict)
 
 
 class Metrics:
-    """The service that other services take their cells from by name."""
+    """The service that other services take their metrics from by name."""
 
     name = "metrics"
     requires: tuple[str, ...] = ()
@@ -125,7 +125,7 @@
         """Closes nothing."""
 
     def receive(self, message: Any) -> None:
-        """Takes no messages; cells are shared objects."""
+        """Takes no messages; metrics are shared objects."""
         raise errors.BrokenInvariantError(
             f"metrics got a {type(message).__name__}"
         )
@@ -196,17 +196,17 @@
             for what, value in read().items():
                 self.counter(name, doc, {"what": what}).value = value
         for family in self._families.values():
-            for labels, cell in family.cells.items():
-                family.collector.set_value(dict(labels), _export(cell))
+            for labels, metric in family.metrics.items():
+                family.collector.set_value(dict(labels), _export(metric))
         content, _ = aioprometheus.render(self._registry, ["text/plain"])
         return content
 
     def dump(self) -> dict[str, Any]:
         """Returns counters and gauges by series, ready for JSON."""
         return {
-            _format_series(name, labels): _summarize(cell)
+            _format_series(name, labels): _summarize(metric)
             for name, family in self._families.items()
-            for labels, cell in family.cells.items()
+            for labels, metric in family.metrics.items()
         }
 
     def _find(
@@ -215,21 +215,21 @@
         doc: str,
         labels: Mapping[str, str] | None,
         collector_type: type,
-        cell_type: type,
+        metric_type: type,
     ) -> Any:
         family = self._families.get(name)
         if family is None:
             collector = collector_type(
                 PREFIX + name, doc, registry=self._registry
             )
-            family = _Family(collector=collector, cell_type=cell_type)
+            family = _Family(collector=collector, metric_type=metric_type)
             self._families[name] = family
-        if family.cell_type is not cell_type:
+        if family.metric_type is not metric_type:
             raise errors.BrokenInvariantError(f"{name} has two types")
         key = tuple(sorted((labels or {}).items()))
-        if key not in family.cells:
-            family.cells[key] = cell_type()
-        return family.cells[key]
+        if key not in family.metrics:
+            family.metrics[key] = metric_type()
+        return family.metrics[key]
 
 
 def _check_suffix(name: str, suffixes: tuple[str, ...]) -> None:
@@ -237,27 +237,27 @@
         raise errors.BrokenInvariantError(f"{name} does not name its unit")
 
 
-def _export(cell: Any) -> Any:
-    if isinstance(cell, Counter):
-        return cell.value
-    if isinstance(cell, Gauge):
-        return cell.get()
+def _export(metric: Any) -> Any:
+    if isinstance(metric, Counter):
+        return metric.value
+    if isinstance(metric, Gauge):
+        return metric.get()
     exported = histogram.Histogram(*LATENCY_BUCKETS_S, math.inf)
     below = 0
-    for bound, count in zip(exported.buckets, cell.counts, strict=True):
+    for bound, count in zip(exported.buckets, metric.counts, strict=True):
         below += count
         exported.buckets[bound] = below
     exported.observations = below
-    exported.sum = cell.total
+    exported.sum = metric.total
     return exported
 
 
-def _summarize(cell: Any) -> Any:
-    if isinstance(cell, Histogram):
-        count = sum(cell.counts)
-        mean_s = cell.total / count if count else None
+def _summarize(metric: Any) -> Any:
+    if isinstance(metric, Histogram):
+        count = sum(metric.counts)
+        mean_s = metric.total / count if count else None
         return {"count": count, "mean_s": mean_s}
-    return cell.get() if isinstance(cell, Gauge) else cell.value
+    return metric.get() if isinstance(metric, Gauge) else metric.value
 
 
 def _format_series(name: str, labels: _Labels) -> str:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/pages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/pages.py
@@ -72,8 +72,8 @@
     @property
     def address(self) -> str:
         """Where it listens, ``IP:PORT``."""
-        found = self._port.getHost()
-        return f"{found.host}:{found.port}"
+        bound = self._port.getHost()
+        return f"{bound.host}:{bound.port}"
 
     async def start(self) -> None:
         """Listens."""
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementservice.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementservice.py
@@ -82,7 +82,7 @@
         self._timers = timers
         self._core = core
         self._on_changed = on_changed
-        self._waiting: dict[str, defer.Deferred] = {}
+        self._queued: dict[str, defer.Deferred] = {}
         self._hosts: dict[str, membership.Host] = {}
         self._loads: dict[str, engine.EngineLoad] = {}
         self._endpoints: dict[str, work_module.Endpoint] = {}
@@ -111,7 +111,7 @@
 
     async def start(self) -> None:
         """Begins to look at queued work again and again."""
-        self._poll = self._timers.every(POLL_S, self._settle)
+        self._poll = self._timers.every(POLL_S, self._resolve_queued)
 
     async def stop(self) -> None:
         """Stops looking; nothing is queued any more by then."""
@@ -120,16 +120,16 @@
     def receive(self, message: Any) -> None:
         """Takes lists of hosts, engines' reports and peers' loads."""
         if isinstance(message, membership.HostList):
-            self._take_hosts(message.hosts)
+            self._apply_hosts(message.hosts)
         elif isinstance(message, PollResult):
-            self._take_report(message)
+            self._apply_poll_result(message)
         elif isinstance(message, PeerLoads):
             self._core.peer_load(message.peer, message.loads, self.now)
 
     def dump(self) -> dict[str, Any]:
         """Returns the scheduler's state and the last reports."""
         return {
-            "queued": len(self._waiting),
+            "queued": len(self._queued),
             "held": sorted(self._blocked),
             "reports": {a: attrs.asdict(r) for a, r in self._loads.items()},
             "scheduler": self._core.dump(),
@@ -169,7 +169,7 @@
         self, work: work_module.Work
     ) -> work_module.Placed | work_module.Refused:
         """Returns where a request goes, waiting while it is queued."""
-        return await self._decided(self._core.offer(work, self.now))
+        return await self._await_decision(self._core.offer(work, self.now))
 
     async def retry(
         self,
@@ -187,7 +187,7 @@
             tokens_done: Tokens of the answer that the caller has.
             started: False where the endpoint certainly did not start it.
         """
-        return await self._decided(
+        return await self._await_decision(
             self._core.retry(
                 request_id,
                 failed_endpoint,
@@ -200,7 +200,7 @@
     def first_token(self, request_id: str) -> None:
         """Notes that a request's first token came."""
         self._core.first_token(request_id, self.now)
-        self._settle()
+        self._resolve_queued()
 
     def prefill_done(self, request_id: str) -> None:
         """Notes that the prompt was read, before its KV cache moves."""
@@ -224,32 +224,32 @@
             cached_tokens: Prompt tokens that were cached, if the engine says.
         """
         self._core.finished(request_id, outcome, self.now, cached_tokens)
-        self._settle()
+        self._resolve_queued()
 
     def cancel(self, request_id: str) -> None:
         """Drops a request whose caller is gone, queued or running."""
         self._core.cancel(request_id, self.now)
-        waiting = self._waiting.pop(request_id, None)
-        if waiting is not None:
-            waiting.cancel()
-        self._settle()
+        pending = self._queued.pop(request_id, None)
+        if pending is not None:
+            pending.cancel()
+        self._resolve_queued()
 
-    async def _decided(
+    async def _await_decision(
         self, decision: work_module.Decision
     ) -> work_module.Placed | work_module.Refused:
         if not isinstance(decision, work_module.Queued):
             return decision
-        waiting: defer.Deferred = defer.Deferred()
-        self._waiting[decision.request_id] = waiting
-        return await waiting
+        pending: defer.Deferred = defer.Deferred()
+        self._queued[decision.request_id] = pending
+        return await pending
 
-    def _settle(self) -> None:
+    def _resolve_queued(self) -> None:
         for decision in self._core.poll(self.now):
-            waiting = self._waiting.pop(decision.request_id, None)
-            if waiting is not None:
-                waiting.callback(decision)
+            pending = self._queued.pop(decision.request_id, None)
+            if pending is not None:
+                pending.callback(decision)
 
-    def _take_hosts(self, hosts: Iterable[membership.Host]) -> None:
+    def _apply_hosts(self, hosts: Iterable[membership.Host]) -> None:
         self._hosts = {
             h.address: h for h in hosts if h.kind is not membership.Kind.ENTRY
         }
@@ -257,22 +257,22 @@
             del self._loads[address]
         self._update_endpoints()
 
-    def _take_report(self, seen: PollResult) -> None:
-        if seen.address not in self._hosts:
+    def _apply_poll_result(self, result: PollResult) -> None:
+        if result.address not in self._hosts:
             return
-        before = self._loads.get(seen.address)
-        if seen.load is None:
+        before = self._loads.get(result.address)
+        if result.load is None:
             # Silence says nothing about the engine's state: it may be busy,
             # or the link to it cut. Ejection judges it by how requests go.
             return
-        load = seen.load
-        self._loads[seen.address] = load
-        if before is None or _shape(before) != _shape(load):
+        load = result.load
+        self._loads[result.address] = load
+        if before is None or _configuration(before) != _configuration(load):
             self._update_endpoints()
-            self._on_changed(seen.address)
+            self._on_changed(result.address)
         self._core.report(
             work_module.LoadReport(
-                endpoint=seen.address,
+                endpoint=result.address,
                 running=load.running,
                 queued=load.queued,
                 prefill_backlog_tokens=int(load.prefill_backlog_tokens),
@@ -285,15 +285,15 @@
 
     def _update_endpoints(self) -> None:
         endpoints = tuple(
-            self._endpoint(host)
+            self._make_endpoint(host)
             for host in self._hosts.values()
             if host.kind is membership.Kind.PLAIN or host.address in self._loads
         )
         self._endpoints = {e.address: e for e in endpoints}
         self._core.set_endpoints(endpoints, self.now)
-        self._settle()
+        self._resolve_queued()
 
-    def _endpoint(self, host: membership.Host) -> work_module.Endpoint:
+    def _make_endpoint(self, host: membership.Host) -> work_module.Endpoint:
         load = self._loads.get(host.address)
         state = work_module.EndpointState.SERVING
         if load is not None:
@@ -324,5 +324,5 @@
         )
 
 
-def _shape(load: engine.EngineLoad) -> tuple[Any, ...]:
+def _configuration(load: engine.EngineLoad) -> tuple[Any, ...]:
     return (load.role, load.model, load.state, tuple(load.adapters))
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/plain.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/plain.py
@@ -184,7 +184,7 @@
             )
         return PlainAnswer(
             status=response.code,
-            headers=_answer_headers(response),
+            headers=_read_answer_headers(response),
             body=outcome,
         )
 
@@ -200,7 +200,7 @@
     )
 
 
-def _answer_headers(response: Any) -> tuple[tuple[str, str], ...]:
+def _read_answer_headers(response: Any) -> tuple[tuple[str, str], ...]:
     return drop_hop_by_hop_headers(
         [
             (name.decode("latin-1"), value.decode("latin-1"))
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/plainrelay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/plainrelay.py
@@ -129,7 +129,7 @@
                     job.request_id, placementservice.COMPLETE
                 )
                 return outcome
-            final = self._judge(job, outcome)
+            final = self._find_final_refusal(job, outcome)
             if final is not None:
                 self._placement.finished(
                     job.request_id, placementservice.FAILED
@@ -175,7 +175,7 @@
             return False
         return job.acquire_permit is None or job.acquire_permit()
 
-    def _judge(
+    def _find_final_refusal(
         self, job: PlainJob, outcome: engine.NotStarted | engine.Lost
     ) -> refusal.Refusal | None:
         if isinstance(outcome, engine.NotStarted):
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
@@ -15,7 +15,7 @@
 
 # After a deadline was missed: the load that caused it has to pass first.
 DEADLINE_RETRY_AFTER_S = 1.0
-_CALLER_TO_SLOW_DOWN = frozenset(
+_RATE_LIMIT_CODES = frozenset(
     {
         work.RefusalCode.OVERLOADED,
         work.RefusalCode.QUEUE_FULL,
@@ -117,7 +117,7 @@
         ran: What is known of attempts before it.
     """
     status = 404 if refused.code is work.RefusalCode.UNKNOWN_SERVICE else 503
-    if refused.code in _CALLER_TO_SLOW_DOWN:
+    if refused.code in _RATE_LIMIT_CODES:
         status = 429
     return Refusal(
         status=status,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
@@ -181,7 +181,7 @@
             refused = await self._run(job)
         except defer.CancelledError:
             # The caller left while the request was queued.
-            refused = _caller_gone()
+            refused = _refuse_disconnected()
         finally:
             deadline.cancel()
             del self._jobs[job.request_id]
@@ -202,7 +202,7 @@
             if isinstance(outcome, engine.Ended) and job.answer.end():
                 self._finish(job, placementservice.COMPLETE)
                 return None
-            final = self._judge(job, outcome)
+            final = self._find_final_refusal(job, outcome)
             if final is not None:
                 return final
             self._counts["lost_attempts"] += 1
@@ -212,14 +212,14 @@
                 job.answer.tokens,
                 started=not isinstance(outcome, engine.NotStarted),
             )
-        return _refuse(placed, job)
+        return _refuse_by_decision(placed, job)
 
-    def _judge(
+    def _find_final_refusal(
         self, job: ModelJob, outcome: engine.StreamOutcome
     ) -> refusal.Refusal | None:
         """Returns the refusal that ends a request, or None to try again."""
         if job.caller_disconnected:
-            return _caller_gone()
+            return _refuse_disconnected()
         if isinstance(outcome, engine.Rejected):
             self._finish(job, placementservice.COMPLETE)
             return refusal.Refusal(
@@ -232,7 +232,7 @@
         if self._timers.now >= job.work.deadline:
             self._counts["late"] += 1
             self._finish(job, placementservice.FAILED)
-            return _late(job)
+            return _refuse_late(job)
         # What must not be repeated ends here, unless it is certain that the
         # engine did not start: its work may be done, and only its answer
         # lost.
@@ -246,14 +246,14 @@
     ) -> engine.StreamOutcome:
         job.endpoint = placed.endpoint
         job.attempt_id = f"{job.request_id}.{number}"
-        body = self._body(job, placed)
+        body = self._build_body(job, placed)
         if placed.decode_endpoint is not None:
-            moved = await self._prefill(job, placed, body)
-            if not isinstance(moved, dict):
-                return moved
-            body = moved
+            prefilled = await self._prefill(job, placed, body)
+            if not isinstance(prefilled, dict):
+                return prefilled
+            body = prefilled
         stream = engine.EngineStream(
-            on_event=lambda event: self._take(job, event)
+            on_event=lambda event: self._handle_event(job, event)
         )
         job.stream = stream
         job.watchdog = silence.SilenceWatch(
@@ -280,7 +280,7 @@
             self._engines.cancel(job.endpoint, job.attempt_id)
         return outcome
 
-    def _body(
+    def _build_body(
         self, job: ModelJob, placed: work_module.Placed
     ) -> dict[str, Any]:
         body = dict(job.completion_request.fields)
@@ -308,8 +308,8 @@
             body={**body, "stream": False, "kv_export": True},
         )
         left_s = job.work.deadline - self._timers.now
-        limit_s = silence.first_limit_s(placed.first_token_s, left_s)
-        handle = await self._engines.prefill(call, limit_s)
+        timeout_s = silence.first_limit_s(placed.first_token_s, left_s)
+        handle = await self._engines.prefill(call, timeout_s)
         if job.caller_disconnected:
             self._engines.cancel(placed.endpoint, call.attempt_id)
             return engine.Lost(reason="caller gone")
@@ -320,22 +320,22 @@
         # has run in part.
         job.maybe_ran = True
         job.endpoint = placed.decode_endpoint
-        moved = {"address": placed.endpoint, "handle": handle.unwrap()}
-        return {**body, "kv_import": moved}
+        prefilled = {"address": placed.endpoint, "handle": handle.unwrap()}
+        return {**body, "kv_import": prefilled}
 
-    def _take(self, job: ModelJob, event: engine.Event) -> bool:
+    def _handle_event(self, job: ModelJob, event: engine.Event) -> bool:
         finish = event.finish_reason is not None
-        step = job.answer.take(
+        action = job.answer.take(
             event.attempt_id,
             event.index,
             has_token=event.text is not None,
             finish=finish,
         )
-        if step is not answer_module.EventAction.DELIVER:
-            return step is answer_module.EventAction.DROP
+        if action is not answer_module.EventAction.DELIVER:
+            return action is answer_module.EventAction.DROP
         job.watchdog.progress()
         if event.usage is not None:
-            job.cached_tokens = _read_cached(event.usage)
+            job.cached_tokens = _read_cached_tokens(event.usage)
         tokens = job.answer.tokens
         if tokens == 1 and event.text is not None:
             self._placement.first_token(job.request_id)
@@ -357,12 +357,12 @@
         self._placement.finished(job.request_id, outcome, job.cached_tokens)
 
 
-def _read_cached(usage: dict[str, Any]) -> int | None:
+def _read_cached_tokens(usage: dict[str, Any]) -> int | None:
     cached = usage.get("cached_tokens")
     return cached if isinstance(cached, int) and cached >= 0 else None
 
 
-def _caller_gone() -> refusal.Refusal:
+def _refuse_disconnected() -> refusal.Refusal:
     return refusal.Refusal(
         status=499,
         code="caller_gone",
@@ -371,7 +371,7 @@
     )
 
 
-def _late(job: ModelJob) -> refusal.Refusal:
+def _refuse_late(job: ModelJob) -> refusal.Refusal:
     ran = (
         refusal.RunStatus.UNKNOWN
         if job.maybe_ran
@@ -380,7 +380,9 @@
     return refusal.deadline_exceeded(ran)
 
 
-def _refuse(refused: work_module.Refused, job: ModelJob) -> refusal.Refusal:
+def _refuse_by_decision(
+    refused: work_module.Refused, job: ModelJob
+) -> refusal.Refusal:
     ran = (
         refusal.RunStatus.UNKNOWN
         if job.maybe_ran
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/reply.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/reply.py
@@ -44,102 +44,108 @@
         request_id: str,
         completion_request: request.CompletionRequest,
     ):
-        self._http = http_request
-        self._id = request_id
+        self._http_request = http_request
+        self._request_id = request_id
         self._completion_request = completion_request
         self._job: relay.ModelJob | None = None
         self._texts: list[str] = []
-        self._last: engine.Event | None = None
-        self._begun = False
-        self._control: site.FlowControl | None = None
+        self._last_event: engine.Event | None = None
+        self._stream_started = False
+        self._flow_control: site.FlowControl | None = None
 
     @property
     def _channel(self) -> Any:
         """The caller's connection, or None once the request has ended."""
-        return getattr(self._http, "channel", None)
+        return getattr(self._http_request, "channel", None)
 
     def bind(self, job: relay.ModelJob) -> None:
         """Ties the reply to the request that it answers."""
         self._job = job
 
     def set_flow_control(
-        self, *, timers: Any, stall_s: float, leave: Callable[[], None]
+        self, *, timers: Any, stall_s: float, on_stall: Callable[[], None]
     ) -> None:
         """Passes the caller's reading speed on to the engine.
 
         Args:
             timers: The timer service.
             stall_s: How long a caller may leave its buffer full.
-            leave: Called when it has for longer: its engine's place and the
+            on_stall: Called when it has for longer: its engine's place and the
                 buffers are worth more to others.
         """
         job = self._job
-        stalled: Any = None
+        stall_timer: Any = None
 
         def pause() -> None:
-            nonlocal stalled
+            nonlocal stall_timer
             job.pause()
-            stalled = timers.after(stall_s, stall)
+            stall_timer = timers.after(stall_s, stall)
 
         def stall() -> None:
             channel = self._channel
-            leave()
+            on_stall()
             # What is in its buffer will not be read, so a close that waits
             # for the buffer would never come.
             if channel is not None:
                 channel.forceAbortClient()
 
         def resume() -> None:
-            if stalled is not None:
-                stalled.cancel()
+            if stall_timer is not None:
+                stall_timer.cancel()
             job.resume()
 
         def stop() -> None:
-            if stalled is not None:
-                stalled.cancel()
+            if stall_timer is not None:
+                stall_timer.cancel()
 
-        self._control = site.FlowControl(pause=pause, resume=resume, stop=stop)
+        self._flow_control = site.FlowControl(
+            pause=pause, resume=resume, stop=stop
+        )
 
     def write_event(self, event: engine.Event) -> None:
         """Takes an event of the answer, in order."""
         if not self._completion_request.stream:
-            self._last = event
+            self._last_event = event
             if event.text is not None:
                 self._texts.append(event.text)
             return
-        if not self._begun:
-            self._begin()
+        if not self._stream_started:
+            self._start_stream()
         # Callers see one id for the whole answer, whichever attempts it took.
-        raw = event.raw.replace(event.attempt_id.encode(), self._id.encode(), 1)
-        self._http.write(b"data: " + raw + b"\n\n")
+        raw = event.raw.replace(
+            event.attempt_id.encode(), self._request_id.encode(), 1
+        )
+        self._http_request.write(b"data: " + raw + b"\n\n")
 
     def finish(self, refused: refusal.Refusal | None) -> bytes:
         """Returns what is left to write once the request has ended."""
-        if self._begun and self._channel is not None:
-            self._http.unregisterProducer()
+        if self._stream_started and self._channel is not None:
+            self._http_request.unregisterProducer()
         if refused is None:
             return (
-                DONE_EVENT if self._completion_request.stream else self._whole()
+                DONE_EVENT
+                if self._completion_request.stream
+                else self._serialize_completion()
             )
-        if not self._begun:
-            return refuse(self._http, refused)
+        if not self._stream_started:
+            return refuse(self._http_request, refused)
         # The status is long sent; the missing end marker and this event tell
         # the caller that the answer is cut.
         return b"data: " + refusal.serialize_refusal(refused) + b"\n\n"
 
-    def _begin(self) -> None:
-        self._begun = True
-        self._http.setHeader("Content-Type", EVENT_STREAM)
-        self._http.setHeader("Cache-Control", "no-cache")
+    def _start_stream(self) -> None:
+        self._stream_started = True
+        self._http_request.setHeader("Content-Type", EVENT_STREAM)
+        self._http_request.setHeader("Cache-Control", "no-cache")
         if self._channel is not None:
-            self._http.registerProducer(self._control, True)
+            self._http_request.registerProducer(self._flow_control, True)
 
-    def _whole(self) -> bytes:
-        self._http.setHeader("Content-Type", "application/json")
+    def _serialize_completion(self) -> bytes:
+        self._http_request.setHeader("Content-Type", "application/json")
         text = "".join(self._texts)
         choice: dict[str, Any] = {
             "index": 0,
-            "finish_reason": self._last.finish_reason,
+            "finish_reason": self._last_event.finish_reason,
         }
         if self._completion_request.is_chat:
             choice["message"] = {"role": "assistant", "content": text}
@@ -147,7 +153,7 @@
             choice["text"] = text
         return msgspec.json.encode(
             {
-                "id": self._id,
+                "id": self._request_id,
                 "object": (
                     "chat.completion"
                     if self._completion_request.is_chat
@@ -155,6 +161,6 @@
                 ),
                 "model": self._job.model,
                 "choices": [choice],
-                "usage": self._last.usage,
+                "usage": self._last_event.usage,
             }
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
@@ -60,29 +60,29 @@
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return _bad(f"the body is not JSON: {error}")
+        return _refuse(f"the body is not JSON: {error}")
     if not isinstance(body, dict):
-        return _bad("the body must be a JSON object")
+        return _refuse("the body must be a JSON object")
     text = _parse_text(body, path)
     if isinstance(text, Failure):
         return text
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        return _bad("'model' must be a non-empty string")
+        return _refuse("'model' must be a non-empty string")
     stream = body.get("stream", False)
     if not isinstance(stream, bool):
-        return _bad("'stream' must be true or false")
+        return _refuse("'stream' must be true or false")
     max_tokens = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     if (
         not isinstance(max_tokens, int)
         or isinstance(max_tokens, bool)
         or not 1 <= max_tokens <= MAX_MAX_TOKENS
     ):
-        return _bad(
+        return _refuse(
             f"'max_tokens' must be a whole number from 1 to {MAX_MAX_TOKENS}"
         )
     if body.get("n", 1) != 1:
-        return _bad("'n' must be 1: one answer a request")
+        return _refuse("'n' must be 1: one answer a request")
     fields = {k: v for k, v in body.items() if k not in RESERVED_FIELDS}
     fields["max_tokens"] = max_tokens
     return Success(
@@ -103,23 +103,23 @@
     if path == COMPLETIONS_PATH:
         prompt = body.get("prompt")
         if not isinstance(prompt, str):
-            return _bad("'prompt' must be a string")
+            return _refuse("'prompt' must be a string")
         return Success(prompt)
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
-        return _bad("'messages' must be a non-empty list")
+        return _refuse("'messages' must be a non-empty list")
     parts = []
     for number, message in enumerate(messages):
         if not isinstance(message, dict):
-            return _bad(f"'messages[{number}]' must be an object")
+            return _refuse(f"'messages[{number}]' must be an object")
         role, content = message.get("role"), message.get("content")
         if not isinstance(role, str) or not isinstance(content, str):
-            return _bad(
+            return _refuse(
                 f"'messages[{number}]' needs 'role' and 'content' as strings"
             )
         parts.append(f"{role}: {content}")
     return Success("\n".join(parts))
 
 
-def _bad(message: str) -> Failure[refusal.Refusal]:
+def _refuse(message: str) -> Failure[refusal.Refusal]:
     return Failure(refusal.bad_request(message))
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/task.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/task.py
@@ -29,9 +29,9 @@
     """
     running = defer.Deferred.fromCoroutine(work)
 
-    def broken(failure: twisted_failure.Failure) -> None:
+    def report(failure: twisted_failure.Failure) -> None:
         if failure.check(defer.CancelledError):
             return
         on_broken(f"{name}: {failure.getTraceback()}")
 
-    return running.addErrback(broken)
+    return running.addErrback(report)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/zmqreactor.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/zmqreactor.py
@@ -44,9 +44,9 @@
         self._reactor = reactor
         self._receive = receive
         self._on_broken = on_broken
-        self._turn: Any = None
+        self._scheduled_read: Any = None
         reactor.addReader(self)
-        self._ask_for_turn()
+        self._schedule_read()
 
     @property
     def closed(self) -> bool:
@@ -79,7 +79,7 @@
             except Exception as error:
                 self._on_broken(f"zmq: {type(error).__name__}: {error}")
                 return
-        self._ask_for_turn()
+        self._schedule_read()
 
     def send(self, frames: list[bytes]) -> bool:
         """Sends a message without waiting.
@@ -96,7 +96,7 @@
             raise
         finally:
             if self._socket.EVENTS & zmq.POLLIN:
-                self._ask_for_turn()
+                self._schedule_read()
         return True
 
     def close(self) -> None:
@@ -104,15 +104,17 @@
         if self._socket.closed:
             return
         self._reactor.removeReader(self)
-        if self._turn is not None:
-            self._turn.cancel()
-            self._turn = None
+        if self._scheduled_read is not None:
+            self._scheduled_read.cancel()
+            self._scheduled_read = None
         self._socket.close(linger=0)
 
-    def _ask_for_turn(self) -> None:
-        if self._turn is None:
-            self._turn = self._reactor.callLater(0, self._take_turn)
+    def _schedule_read(self) -> None:
+        if self._scheduled_read is None:
+            self._scheduled_read = self._reactor.callLater(
+                0, self._run_scheduled_read
+            )
 
-    def _take_turn(self) -> None:
-        self._turn = None
+    def _run_scheduled_read(self) -> None:
+        self._scheduled_read = None
         self.doRead()
--- a/packages/bulrushgrade_daemon/tests/test_badinput.py
+++ b/packages/bulrushgrade_daemon/tests/test_badinput.py
@@ -124,7 +124,7 @@
         _head("Host: a", "Content-Length: 100", "", "") + b"{",
     ],
 )
-def test_slow_sender_is_given_up(fleet, sent):
+def test_slow_sender_times_out(fleet, sent):
     # A caller that stops in the middle of its headers or body would hold a
     # connection for good; many of them would leave none for others.
     begun_s = time.monotonic()
--- a/packages/bulrushgrade_daemon/tests/test_failures_answers.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_answers.py
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture
-def _mend(fleet):
+def _clear_faults(fleet):
     yield
     for engine in fleet.engines:
         scene.fault(engine.address)
@@ -72,7 +72,7 @@
     processes.wait_for(hit)
 
 
-@pytest.mark.usefixtures("_mend")
+@pytest.mark.usefixtures("_clear_faults")
 @pytest.mark.parametrize("sent", range(13))
 def test_engine_lost_at_any_token(fleet, sent):
     # A tenant's answer would stop at some word. An engine dies after so many
@@ -81,7 +81,7 @@
     _ask_until_hit(fleet, f"lost-at-{sent}", die_after=sent)
 
 
-@pytest.mark.usefixtures("_mend")
+@pytest.mark.usefixtures("_clear_faults")
 @pytest.mark.parametrize(
     "faults",
     [
@@ -97,7 +97,7 @@
     ],
     ids=lambda faults: "-".join(map(str, *faults.items())),
 )
-def test_broken_answers_are_made_whole(fleet, faults):
+def test_broken_answers_are_completed(fleet, faults):
     # A caller would take a cut answer for the whole one, see words twice, or
     # get another's grade. The engine ends an answer early in good form,
     # repeats an event, answers under another attempt's id or goes silent.
@@ -105,7 +105,7 @@
     _ask_until_hit(fleet, name, **faults)
 
 
-@pytest.mark.usefixtures("_mend")
+@pytest.mark.usefixtures("_clear_faults")
 def test_unstreamed_answer_is_resumed_and_whole(fleet):
     # The same for a caller who waits for the whole answer in one piece.
     for engine in fleet.engines:
--- a/packages/bulrushgrade_daemon/tests/test_failures_refusals.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_refusals.py
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _mend(fleet):
+def _clear_faults(fleet):
     yield
     for process in (*fleet.engines, *fleet.plains):
         scene.fault(process.address)
--- a/packages/bulrushgrade_daemon/tests/test_forwarder.py
+++ b/packages/bulrushgrade_daemon/tests/test_forwarder.py
@@ -61,7 +61,7 @@
     def refuse(self, after_s):
         self.answers.append(("refused", after_s))
 
-    def abort(self):
+    def abort_connection(self):
         self.answers.append("cut")
 
 
--- a/packages/bulrushgrade_daemon/tests/test_metrics.py
+++ b/packages/bulrushgrade_daemon/tests/test_metrics.py
@@ -6,7 +6,7 @@
 from bulrushgrade_daemon import metrics
 
 
-def test_cells_of_a_series_are_the_same_object():
+def test_metric_of_a_series_is_the_same_object():
     service = metrics.Metrics()
     first = service.counter("requests_total", "Requests.", {"a": "1"})
     assert service.counter("requests_total", "Requests.", {"a": "1"}) is first
@@ -40,7 +40,7 @@
         assert f'{name}_count{{s="x"}} 3.0' in lines
 
 
-def test_counts_of_a_service_are_read_anew_each_time():
+def test_counts_of_a_service_are_read_at_each_render():
     service = metrics.Metrics()
     counts = {"whole": 1}
     service.register_counts("relay_answers_total", "Answers.", lambda: counts)
--- a/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
+++ b/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
@@ -49,7 +49,7 @@
     return reactor, connection
 
 
-def test_send_that_takes_the_edge_away_asks_for_a_turn(pair):
+def test_send_that_consumes_the_edge_schedules_a_read(pair):
     # A peer's messages would wait for good. One arrives while this side is
     # about to send; the send handles the socket's events, the descriptor is
     # not readable any more, and a reactor that waits for it never reads.
@@ -67,7 +67,7 @@
     assert reactor.readers == []
 
 
-def test_flood_is_read_a_part_a_turn(pair):
+def test_flood_is_read_in_bounded_batches(pair):
     near, far = pair
     got = []
     reactor, connection = open_connection(near, got.append)
