--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/__main__.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/__main__.py
@@ -1,4 +1,4 @@
-"""The binary ``bulrushgraded``: runs the daemon of one entry host."""
+"""The program ``bulrushgraded``, which runs the daemon of an entry host."""
 
 import json
 import signal
@@ -27,7 +27,7 @@
 
 
 class Process:
-    """The life of the daemon's process, from start to its exit code."""
+    """Runs the daemon in this process, from start to exit code."""
 
     def __init__(self, *, settings: settings_module.Settings, reactor):
         clock.use_steady_clock(reactor)
@@ -38,7 +38,7 @@
         self._daemon = host.build(settings, reactor, on_broken=self._on_broken)
 
     def run(self) -> int:
-        """Runs until it is told to stop; returns the exit code."""
+        """Runs until SIGTERM or SIGINT and returns the exit code."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._on_signal)
         self._reactor.callWhenRunning(self._start)
@@ -57,7 +57,7 @@
         try:
             await self._daemon.kernel.start()
         except internet_error.CannotListenError as error:
-            self._on_broken(f"can't open an address: {error}")
+            self._on_broken(f"can't listen on an address: {error}")
             return
         addresses = {
             "name": self._settings.host.name,
@@ -71,7 +71,7 @@
         if self._stopping:
             return
         self._stopping = True
-        logging.info("stopping: open requests are finished first")
+        logging.info("stopping after the open requests are finished")
         task.spawn(
             self._stop_services(), name="stop", on_broken=self._on_broken
         )
@@ -111,7 +111,8 @@
     logging.use_absl_handler()
     logging.set_verbosity(_LEVELS[parsed.logging.level])
     logging.set_stderrthreshold("debug")
-    # Imported here so that a check opens nothing at all.
+    # Imported here, as the import opens file descriptors, which --check must
+    # not do.
     from twisted.internet import reactor
 
     raise typer.Exit(Process(settings=parsed, reactor=reactor).run())
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/admin.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/admin.py
@@ -1,4 +1,4 @@
-"""What operators ask a daemon: metrics and the state of each service."""
+"""The HTTP API for operators: metrics and state dumps of the services."""
 
 from collections.abc import Callable
 from typing import Any
@@ -28,10 +28,10 @@
         """Makes the service.
 
         Args:
-            reactor: Where it listens.
-            listen: The address.
-            dump: Returns the state of every service.
-            render_metrics: Returns the metrics in their text format.
+            reactor: The reactor that the server runs in.
+            listen: The address to listen on.
+            dump: Returns the state of every service by name.
+            render_metrics: Returns the metrics in the Prometheus text format.
         """
         self._reactor = reactor
         self._listen = listen
@@ -41,12 +41,12 @@
 
     @property
     def address(self) -> str:
-        """Where operators reach this host, ``IP:PORT``."""
+        """The address that operators connect to, ``IP:PORT``."""
         host = self._port.getHost()
         return f"{host.host}:{host.port}"
 
     async def start(self) -> None:
-        """Listens for operators."""
+        """Starts to listen."""
         app = klein.Klein()
         app.route("/healthz")(lambda request: b"ok\n")
         app.route("/metrics")(self._metrics)
@@ -59,14 +59,14 @@
         )
 
     async def stop(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         await defer.maybeDeferred(self._port.stopListening)
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns where it listens."""
+        """Returns the address that it listens on."""
         return {"address": self.address if self._port else None}
 
     def _metrics(self, request: Any) -> bytes:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -1,4 +1,4 @@
-"""What callers meet: requests in, answers and refusals out."""
+"""The HTTP API for callers of an entry host, and its graceful stop."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,22 +20,24 @@
 from bulrushgrade_daemon import task
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
-# A host that can't decide yet or is full; another may do better at once.
+# Retry delay of a host that is not ready or full; another host may be able to
+# serve the request at once.
 NOT_READY_RETRY_S = 1.0
 DRAIN_CHECK_S = 0.05
 
 
 @attrs.frozen(kw_only=True)
 class Dependencies:
-    """The services that callers' requests go through.
+    """The services that the HTTP API uses.
 
     Attributes:
         timers: The timer service.
-        relay: Carries model requests.
-        plain: Carries requests for plain services.
-        service_index: Returns the accepted documents, or None before the first.
-        not_ready_reason: Returns None, or why this host can't serve yet.
-        on_broken: Called with the reason of a broken invariant.
+        relay: Runs model requests.
+        plain: Runs requests for plain services.
+        service_index: Returns the index of the accepted documents, or None
+            before the first one.
+        not_ready_reason: Returns why this host can't serve yet, or None.
+        on_broken: Called with a description of a broken invariant.
     """
 
     timers: Any
@@ -47,7 +49,7 @@
 
 
 class Callers:
-    """The HTTP service for callers, and its graceful stop."""
+    """Serves callers' HTTP requests."""
 
     name = "callers"
     requires = ("timer", "relay", "plainrelay", "documents", "hostlist")
@@ -63,9 +65,9 @@
         """Makes the service.
 
         Args:
-            reactor: Where it listens.
+            reactor: The reactor that the server runs in.
             settings: The daemon's settings.
-            incarnation: Tells this run of the daemon from earlier ones.
+            incarnation: Distinguishes this run of the daemon from earlier ones.
             dependencies: The services it uses.
         """
         self._reactor = reactor
@@ -86,22 +88,22 @@
 
     @property
     def address(self) -> str:
-        """Where callers reach this host, ``IP:PORT``."""
+        """The address that callers connect to, ``IP:PORT``."""
         host = self._port.getHost()
         return f"{host.host}:{host.port}"
 
     @property
     def counts(self) -> dict[str, int]:
-        """The counters, by name."""
+        """The counters by name."""
         return self._counts
 
     @property
     def open_requests(self) -> int:
-        """How many requests are open."""
+        """The number of open requests."""
         return len(self._open)
 
     async def start(self) -> None:
-        """Listens for callers."""
+        """Starts to listen for callers."""
         limits = self._limits
         bounds = site.Bounds(
             max_body_bytes=limits.max_body_bytes,
@@ -122,11 +124,11 @@
         )
 
     async def stop(self) -> None:
-        """Stops without cutting a request.
+        """Stops without interrupting a request.
 
-        The balancer goes on sending for a while after the host says that it
-        is not ready, so those requests are still served; then nothing new is
-        taken, and what is open is finished.
+        The load balancer continues to send requests for a while after the
+        host reports that it is not ready, so these are still served. Then the
+        host stops listening and finishes the open requests.
         """
         self._stopping = True
         await self._dependencies.timers.sleep(self._limits.stop_grace_s)
@@ -136,10 +138,10 @@
             await self._dependencies.timers.sleep(DRAIN_CHECK_S)
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and whether the host is ready."""
+        """Returns the counters, the open requests and whether it is ready."""
         return {
             "address": self.address if self._port else None,
             "open": len(self._open),
@@ -235,11 +237,11 @@
     def _run_detached(
         self, request_id: str, work: Any, on_disconnect: Callable[[], None]
     ) -> defer.Deferred:
-        """Runs the work of a request apart from the caller's connection.
+        """Runs the work of a request independently of the connection.
 
-        A caller that leaves must not cut the work in the middle of a step
-        whose outcome has to be noted, so the connection's end is told to the
-        work instead of cancelling it.
+        A caller that disconnects must not interrupt a step whose outcome has
+        to be recorded. So the work is not cancelled; `on_disconnect` is called
+        instead.
         """
         answered: defer.Deferred = defer.Deferred(lambda _: on_disconnect())
         self._open.add(request_id)
@@ -271,8 +273,9 @@
         if reason is not None:
             self._counts["not_ready"] += 1
             return refusal.not_ready(reason, NOT_READY_RETRY_S)
-        # Each open request holds buffers on both sides; without a bound a
-        # flood would end the process and cut them all.
+        # Each open request uses buffers on both sides. Without a limit, a
+        # flood of requests would exhaust the memory, and the end of the
+        # process would interrupt them all.
         if len(self._open) >= self._limits.max_open_requests:
             return refusal.Refusal(
                 status=503,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/engine.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/engine.py
@@ -1,6 +1,6 @@
-"""The adapter to model engines: streams, loads, orders.
+"""The adapter to model engines: event streams, prefills and load reports.
 
-Everything that depends on the engines' wire format stands in this module.
+Everything that depends on the engines' wire format is in this module.
 """
 
 from collections.abc import Callable
@@ -25,22 +25,22 @@
 EVENT_END = b"\n\n"
 DATA_PREFIX = b"data: "
 END_MARKER = b"[DONE]"
-# An event is one token with its envelope; more is no event.
+# An event is one token with its JSON envelope, so anything larger is invalid.
 MAX_EVENT_BYTES = 1 << 20
-# Calls about an engine, as against requests on it.
+# Timeout of control calls, as opposed to model requests.
 CONTROL_TIMEOUT_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class EngineCall:
-    """One attempt at one engine.
+    """One attempt to run a request on an engine.
 
     Attributes:
         attempt_id: Unique for this attempt.
         request_id: The caller's request.
         address: The engine's ``IP:PORT``.
         path: ``/v1/completions`` or ``/v1/chat/completions``.
-        body: The request as the engine takes it.
+        body: The JSON body for the engine.
     """
 
     attempt_id: str
@@ -55,12 +55,12 @@
     """One event of a stream.
 
     Attributes:
-        attempt_id: The attempt that it says it belongs to.
-        index: The number of its token.
-        text: The token, or None where the event carries none.
+        attempt_id: The attempt that the event names.
+        index: The index of its token.
+        text: The token, or None if the event carries none.
         finish_reason: Why the answer is finished, or None while it is not.
         usage: The token counts, in the last event.
-        raw: The event's JSON as it came.
+        raw: The event's JSON as received.
     """
 
     attempt_id: str
@@ -73,17 +73,18 @@
 
 @attrs.frozen(kw_only=True)
 class Ended:
-    """The end marker came."""
+    """The stream ended with its end marker."""
 
 
 @attrs.frozen(kw_only=True)
 class NotStarted:
-    """The engine did not start the attempt and never will.
+    """The endpoint did not start the attempt and never will.
 
     Attributes:
         reason: How that is known.
-        retry_after_s: When it asks to be tried again, in seconds.
-        answered: Whether it said so itself; else nothing was written to it.
+        answered: Whether the endpoint reported it; if not, no byte of the
+            request was written.
+        retry_after_s: After how many seconds it asks to be tried again.
     """
 
     reason: str
@@ -93,11 +94,11 @@
 
 @attrs.frozen(kw_only=True)
 class Rejected:
-    """The engine judged the request itself to be bad.
+    """The engine rejected the request as invalid.
 
     Attributes:
-        status: Its HTTP status.
-        message: Its answer, cut short.
+        status: The HTTP status of its answer.
+        message: The beginning of its answer.
     """
 
     status: int
@@ -106,10 +107,10 @@
 
 @attrs.frozen(kw_only=True)
 class Lost:
-    """The attempt broke; what the engine did of it is not known.
+    """The attempt failed; whether it ran, fully or in part, is unknown.
 
     Attributes:
-        reason: How it broke.
+        reason: How it failed.
     """
 
     reason: str
@@ -120,22 +121,22 @@
 
 @attrs.frozen
 class EngineLoad:
-    """An engine's own report; its figures lag.
+    """An engine's report of its load and state, which may be outdated.
 
     Attributes:
         role: ``prefill``, ``decode`` or ``mixed``.
-        model: The model it serves.
+        model: The model that it serves.
         state: ``serving``, ``draining``, ``changing`` or ``down``.
         version: The model's version.
-        adapters: Adapters that are loaded.
+        adapters: The loaded adapters.
         running: Attempts in its batch.
-        queued: Attempts that wait for a place in it.
-        prefill_backlog_tokens: Prompt tokens not yet read.
+        queued: Attempts that wait for a slot in the batch.
+        prefill_backlog_tokens: Prompt tokens that are not yet prefilled.
         kv_used: KV cache in use, in tokens.
-        kv_capacity: KV cache in all, in tokens.
-        age_s: How old the figures are, in seconds.
-        order_id: The order that it carried out last.
-        term: That order's fencing number.
+        kv_capacity: Total KV cache, in tokens.
+        age_s: The age of the values, in seconds.
+        order_id: The order that it executed last.
+        term: The fencing token of that order.
     """
 
     role: str
@@ -199,17 +200,17 @@
 
 
 class EngineStream(protocol.Protocol):
-    """Reads one stream of events and tells how it ended.
+    """Parses one event stream and reports how it ended.
 
-    The owner may pause it, which stops reading from the engine, and may end
-    it, after which nothing more is delivered.
+    The owner may pause it, which stops reading from the engine, or end it,
+    after which no more events are delivered.
     """
 
     def __init__(self, *, on_event: Callable[[Event], bool]):
-        """Makes a stream that has not been connected.
+        """Makes a stream that is not connected yet.
 
         Args:
-            on_event: Called with each event; returns whether to go on.
+            on_event: Called with each event; returns whether to continue.
         """
         self._on_event = on_event
         self._buffer = b""
@@ -218,7 +219,7 @@
 
     @property
     def outcome(self) -> StreamOutcome | None:
-        """How the stream ended, or None while it goes on."""
+        """How the stream ended, or None while it is open."""
         return self._outcome
 
     def pause(self) -> None:
@@ -227,12 +228,12 @@
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Reads on."""
+        """Continues to read."""
         if self._outcome is None and self.transport is not None:
             self.transport.resumeProducing()
 
     def end(self, outcome: StreamOutcome) -> None:
-        """Ends the stream with an outcome; only the first one counts."""
+        """Ends the stream with an outcome; later calls have no effect."""
         if self._outcome is not None:
             return
         self._outcome = outcome
@@ -241,7 +242,7 @@
         self.done.callback(outcome)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Takes bytes from the engine."""
+        """Parses the events in bytes from the engine."""
         if self._outcome is not None:
             return
         events = (self._buffer + data).split(EVENT_END)
@@ -256,9 +257,9 @@
     def connectionLost(  # noqa: N802
         self, reason: twisted_failure.Failure = protocol.connectionDone
     ) -> None:
-        """Notes that the engine ended the stream, well or not."""
-        # An engine that dies or truncates its answer closes the connection
-        # like one that has finished; only the end marker tells them apart.
+        """Ends the stream as lost unless its end marker has arrived."""
+        # An engine that crashes or truncates its answer closes the connection
+        # like one that has finished; only the end marker distinguishes them.
         self.end(Lost(reason="stream ended without its end marker"))
 
     def _handle_event(self, event: bytes) -> None:
@@ -272,11 +273,11 @@
         if isinstance(parsed, Failure):
             self.end(parsed.failure())
         elif not self._on_event(parsed.unwrap()):
-            self.end(Lost(reason="hole in the stream"))
+            self.end(Lost(reason="gap in the event stream"))
 
 
 class EngineClient:
-    """Talks to engines by address."""
+    """Sends attempts and control calls to engines."""
 
     name = "engines"
     requires = ("timer",)
@@ -288,7 +289,7 @@
         self._cancelled = 0
 
     async def start(self) -> None:
-        """Opens nothing; connections come with the first call."""
+        """Does nothing; connections are opened by the first call."""
 
     async def stop(self) -> None:
         """Closes the idle connections."""
@@ -296,7 +297,7 @@
         await self._control.pool.closeCachedConnections()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
         """Returns the counters."""
@@ -307,12 +308,12 @@
     ) -> StreamOutcome:
         """Sends an attempt and delivers its stream until it ends.
 
-        The stream may be ended by its owner at any time, also before the
-        engine has answered.
+        The owner may end the stream at any time, even before the engine has
+        answered.
         """
         sent = self._send(call)
-        # The owner's end (a timeout, a caller gone) must not wait for an
-        # engine that never answers its headers.
+        # When the owner ends the stream (on a timeout, or if the caller
+        # disconnects), it must not wait for an engine that never answers.
         stream.done.addCallback(_cancel_request, sent)
         try:
             response = await sent
@@ -332,7 +333,7 @@
     async def prefill(
         self, call: EngineCall, timeout_s: float
     ) -> Result[str, StreamOutcome]:
-        """Runs the prefill of a request and returns its KV handle."""
+        """Runs the prefill of a request and returns its KV cache handle."""
         answer = defer.Deferred.fromCoroutine(self._prefill(call))
         try:
             return await answer.addTimeout(timeout_s, self._reactor)
@@ -340,10 +341,11 @@
             return Failure(Lost(reason="prefill timed out"))
 
     def cancel(self, address: str, attempt_id: str) -> None:
-        """Asks an engine to drop an attempt; the answer is not waited for.
+        """Asks an engine to cancel an attempt, without waiting for an answer.
 
-        Closing the connection is enough for most; an engine behind a link
-        that went silent learns of it only this way, on another connection.
+        Usually, closing the connection is enough. But an engine whose
+        connection silently drops all packets learns of it only through this
+        call, on another connection.
         """
         self._cancelled += 1
         url = f"http://{address}/v1/attempts/{attempt_id}"
@@ -353,7 +355,7 @@
         call.addErrback(lambda _: None)
 
     async def read_load(self, address: str) -> Result[EngineLoad, Lost]:
-        """Reads an engine's report of its load and state."""
+        """Requests an engine's report of its load and state."""
         try:
             call = self._control.http.get(f"http://{address}/load")
             raw = await _read_content(call, self._reactor)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/frontend.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/frontend.py
@@ -1,8 +1,9 @@
-"""The gateway's side towards callers: connections, requests and answers.
+"""The HTTP server that accepts callers' requests at the gateway.
 
-Requests are read whole before they are passed on; answers go out as a whole
-with their length, or in chunks as they arrive. An answer that can't be
-completed ends with the connection, so that it never looks complete.
+A request is read completely before it is handled. An answer is sent either
+complete with its length, or in chunks as they arrive. If an answer can't be
+completed, the connection is closed or reset so that the answer does not look
+complete.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 
 
 class CallerRequest(http.Request):
-    """One request of a caller and the way to answer it."""
+    """A caller's HTTP request, with the methods that answer it."""
 
     limits: routing.CallerLimits
     handle: Callable[["CallerRequest"], None]
@@ -33,27 +34,27 @@
 
     @property
     def is_disconnected(self) -> bool:
-        """Whether the caller has left."""
+        """Whether the caller has closed the connection."""
         return self._is_disconnected
 
     @property
     def address(self) -> str:
-        """The caller's IP number."""
+        """The caller's IP address."""
         return self.getClientAddress().host
 
     @property
     def body(self) -> bytes:
-        """The whole body, also after the caller has left."""
+        """The complete body, also after the caller has disconnected."""
         return self._body
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Keeps the body in memory, within its limit; there is no disk."""
+        """Buffers the body in memory up to its limit; there is no disk."""
         self.content = io.BytesIO()
         if length is not None and length > self.limits.max_body_bytes:
             self._refuse_body()
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Takes a part of the body."""
+        """Appends a chunk of the body, or refuses a body that is too large."""
         self._body_bytes += len(data)
         if self._body_bytes > self.limits.max_body_bytes:
             self._refuse_body()
@@ -63,10 +64,10 @@
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Passes the request on as it came, without parsing its body."""
+        """Hands the request to its handler without parsing the body."""
         if self._body_too_large:
             return
-        # Twisted closes what it has read when the caller leaves.
+        # Twisted closes `content` when the caller disconnects.
         self._body = self.content.getvalue()
         self.method = command
         self.uri = path
@@ -75,7 +76,7 @@
         self.handle(self)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Tells whoever works on it that the caller has left."""
+        """Calls `on_disconnect`, so that work on the request can stop."""
         self._is_disconnected = True
         super().connectionLost(reason)
         if self.on_disconnect is not None:
@@ -87,7 +88,7 @@
         fields: Iterable[tuple[bytes, bytes]],
         length: int | None,
     ) -> None:
-        """Sets the head of the answer; it goes out with the first bytes."""
+        """Sets status and headers; they are sent with the first bytes."""
         self.setResponseCode(status)
         for name, value in fields:
             self.responseHeaders.addRawHeader(name, value)
@@ -102,7 +103,7 @@
     def answer(
         self, status: int, fields: Iterable[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         if self._is_disconnected:
             return
         self.set_head(status, fields, len(body))
@@ -110,12 +111,12 @@
         self.finish()
 
     def refuse(self, after_s: float) -> None:
-        """Says that nothing ran, and in how many seconds to come back."""
+        """Answers that nothing ran, and after how many seconds to retry."""
         fields = [(b"retry-after", b"%.3f" % after_s)]
         self.answer(http.SERVICE_UNAVAILABLE, fields, b"")
 
     def set_producer(self, producer: Any) -> None:
-        """Has the caller's reading speed pause what is passed on."""
+        """Registers a producer that is paused while the caller reads slowly."""
         if self._is_disconnected:
             return
         if self._has_producer:
@@ -124,7 +125,7 @@
         self.registerProducer(producer, True)
 
     def finish_stream(self) -> None:
-        """Ends an answer that was sent as it came."""
+        """Finishes an answer that was sent in chunks."""
         if self._is_disconnected:
             return
         if self._has_producer:
@@ -132,10 +133,11 @@
         self.finish()
 
     def abort_connection(self) -> None:
-        """Ends an answer that has begun so that it does not look complete.
+        """Ends a started answer so that it does not look complete.
 
-        Chunks without the last one show that something is missing. An answer
-        that ends with its connection has only the reset to show it.
+        With HTTP/1.1, the missing last chunk shows that the answer is
+        truncated. An answer that is delimited by the end of the connection
+        needs a reset, as an ordinary close would look like its end.
         """
         if self._is_disconnected:
             return
@@ -148,8 +150,9 @@
         if self._body_too_large:
             return
         self._body_too_large = True
-        # The rest of the body is not read, so the connection can't go on. The
-        # request line has been read, but Twisted tells it only with the body.
+        # The rest of the body is not read, so the connection can't be reused.
+        # Twisted passes the request line on only with the complete body, so
+        # the protocol version has to be set here.
         self.channel.persistent = False
         self.clientproto = b"HTTP/1.1"
         self.answer(
@@ -158,11 +161,11 @@
 
 
 class _Channel(http.HTTPChannel):
-    """A caller's connection."""
+    """A connection from a caller."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way."""
+        """Whether no request is in progress on the connection."""
         return not self.requests
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -176,7 +179,7 @@
 
 
 class _Factory(httpfactory.RequestFactory):
-    """Keeps the connections that are open."""
+    """Makes the connections and keeps the set of open ones."""
 
     def __init__(
         self, *, reactor: Any, make_request: Callable[..., CallerRequest]
@@ -188,7 +191,7 @@
 
 
 class Frontend:
-    """Listens for callers and hands each request to a function."""
+    """Listens for callers and passes each request to a handler."""
 
     name = "front"
     requires = ("timer",)
@@ -206,12 +209,12 @@
         """Makes the service.
 
         Args:
-            reactor: Where it listens.
-            host: The IP number.
-            port: The port.
-            now: The present time in seconds.
-            limits: What callers may do at present.
-            handle: Takes each whole request.
+            reactor: The reactor that the server runs in.
+            host: The IP address to listen on.
+            port: The port; 0 for any free one.
+            now: Returns the current time in seconds.
+            limits: Returns the limits on callers that are in force.
+            handle: Called with each complete request.
         """
         self._reactor = reactor
         self._host = host
@@ -227,50 +230,50 @@
 
     @property
     def address(self) -> str:
-        """Where callers reach it, ``IP:PORT``."""
+        """The address that callers connect to, ``IP:PORT``."""
         bound = self._port.getHost()
         return f"{bound.host}:{bound.port}"
 
     @property
     def connections(self) -> int:
-        """Open connections of callers."""
+        """The number of open connections from callers."""
         return len(self._factory.channels)
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts to listen."""
         self._port = self._reactor.listenTCP(
             self._port_number, self._factory, backlog=512, interface=self._host
         )
 
     async def stop(self) -> None:
-        """Stops listening and closes what is idle."""
+        """Stops listening and closes idle connections."""
         if self._port is not None:
             await self._port.stopListening()
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes the connections that have no request under way."""
+        """Closes the connections that have no request in progress."""
         for channel in list(self._factory.channels):
             if channel.is_idle:
                 channel.loseConnection()
 
     def begin_drain(self) -> None:
-        """Has each connection close after its next answer."""
+        """Makes each connection close after its next answer."""
         self._stopping = True
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is open."""
+        """Returns the number of connections and whether it is draining."""
         return {"connections": self.connections, "stopping": self._stopping}
 
     def _make_request(self, channel: Any, queued: Any = None) -> CallerRequest:
         request = CallerRequest(channel, queued)
         limits = self._limits()
         request.limits = limits
-        # Twisted counts the timeout of an idle connection from the last
-        # byte, so a change takes effect with the next request.
+        # Twisted measures the idle timeout from the last byte received, so
+        # a changed limit takes effect with the next request.
         channel.timeOut = limits.idle_timeout_s
         request.is_closing = lambda: self._stopping
         request.handle = self._receive_request
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpclient.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpclient.py
@@ -1,7 +1,7 @@
-"""HTTP clients towards endpoints and the platform.
+"""HTTP clients for endpoints and the platform.
 
-One place decides how connections are opened, kept and given up, so that every
-adapter meets a silent or half-open connection in the same way.
+Opening, pooling and timing out connections is configured in one module, so
+that all adapters handle silent or half-open connections in the same way.
 """
 
 from collections.abc import Callable
@@ -22,34 +22,35 @@
 
 from bulrushgrade_daemon import outbound
 
-# Engines and plain services are on the same or a near zone: a connection that
-# is not up in this time meets a host that is gone or a partition.
+# Engines and plain services are in the same availability zone or a nearby one:
+# if a connection takes longer, the host is down or unreachable.
 CONNECT_TIMEOUT_S = 1.0
-# How long written bytes may stay unacknowledged. A link that lost track of a
-# connection shows as silence; the kernel then ends the connection.
+# How long written bytes may stay unacknowledged before the kernel closes the
+# connection. A middlebox that lost the state of a connection drops its packets
+# silently.
 USER_TIMEOUT_MS = 4000
-# Idle connections are retired young: one that a middlebox has forgotten looks
-# open and swallows the next request.
+# Idle connections are closed early, as one whose state a middlebox has dropped
+# still looks open and loses the next request.
 IDLE_TIMEOUT_S = 4.0
 MAX_IDLE_CONNECTIONS_PER_HOST = 64
 
 
 class RefusedByCheckError(Exception):
-    """A check made in the turn of the write said no; nothing was written."""
+    """The check before the write failed; nothing was written."""
 
 
 class ConnectFailedError(Exception):
-    """No connection was made, so no byte of the request was written."""
+    """No connection was opened, so no byte of the request was written."""
 
 
 @implementer(interfaces.IStreamClientEndpoint)
 class _CheckedEndpoint:
-    """Connects, sets socket options, then asks a check before the write.
+    """Connects, sets socket options and runs a check before the write.
 
-    Agent writes the request in the same turn in which `connect` fires. A
-    check that runs in that turn therefore holds for the write; the process
-    cannot do other work in between, and when the operating system pauses it
-    exactly there, the endpoint's own read timeout ends the connection.
+    Agent writes the request in the same reactor iteration in which `connect`
+    fires. A check in that iteration therefore holds for the write, as the
+    process does no other work in between. If the operating system pauses the
+    process exactly there, the endpoint's read timeout ends the connection.
     """
 
     def __init__(self, *, inner: Any, check: Callable[[], bool] | None):
@@ -109,11 +110,11 @@
 
 @attrs.frozen(kw_only=True)
 class Client:
-    """A treq client with the pool that it draws from.
+    """A treq client and its connection pool.
 
     Attributes:
-        http: Makes requests where convenience counts.
-        agent: Makes requests where each is paid for by a caller, see `send`.
+        http: The treq client, for requests that are not performance-critical.
+        agent: The Twisted agent, for the requests of callers; see `send`.
         pool: Holds idle connections; close it when done.
     """
 
@@ -132,19 +133,20 @@
     """Returns a client.
 
     Args:
-        reactor: The reactor that its connections live in.
+        reactor: The reactor that the connections run in.
         persistent: Whether connections are kept for later requests. A request
-            that must not be repeated goes on a connection of its own, where
-            a lost connection before the first byte is known as such.
-        check: Asked in the same turn as the write of a request on a new
-            connection; where it says no, nothing is written and the request
-            fails with `RefusedByCheckError`.
-        connect_timeout_s: How long a connection may take to open.
+            that must not be repeated is sent on a connection of its own, where
+            a loss of the connection before the first byte is detected as such.
+        check: Called in the same reactor iteration as the write of a request
+            on a new connection. If it returns False, nothing is written and
+            the request fails with `RefusedByCheckError`.
+        connect_timeout_s: How long opening a connection may take.
     """
     pool = web_client.HTTPConnectionPool(reactor, persistent=persistent)
     pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS_PER_HOST
     pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
-    # Agent would silently send a request twice; attempts are ours to count.
+    # Agent would silently send a request twice; retries are counted and decided
+    # by the callers of this module.
     pool.retryAutomatically = False
     factory = _EndpointFactory(
         reactor=reactor, check=check, connect_timeout_s=connect_timeout_s
@@ -161,21 +163,22 @@
     headers: Iterable[tuple[str, str]],
     body: bytes,
 ) -> defer.Deferred:
-    """Sends a request past treq, for the path that every caller pays for.
+    """Sends a request without treq, for the performance-critical path.
 
-    treq parses the address, merges cookies and wraps the answer, which a
-    profile showed as the largest cost of a relayed request after Twisted's
-    own. None of it is used here.
+    treq parses the URL, merges cookies and wraps the response. A profile
+    showed this as the largest cost of a relayed request after that of Twisted
+    itself, and none of it is needed here.
 
     Args:
-        client: Which connections to use.
+        client: The client whose connections are used.
         method: The HTTP method.
-        url: The whole address.
-        headers: Names and values; a name may stand more than once.
-        body: The body, empty for none.
+        url: The complete URL.
+        headers: Names and values; names may be repeated.
+        body: The body, or empty for none.
 
     Returns:
-        Fires with Twisted's response, whose body has not been read.
+        A Deferred that fires with Twisted's response, whose body has not been
+        read.
     """
     fields = http_headers.Headers()
     for name, value in headers:
@@ -189,5 +192,5 @@
 
 
 def was_not_sent(error: BaseException) -> bool:
-    """Tells whether an error proves that no byte of a request was written."""
+    """Returns whether an error proves that no byte of a request was written."""
     return isinstance(error, ConnectFailedError | RefusedByCheckError)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpfactory.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpfactory.py
@@ -1,4 +1,4 @@
-"""Makes HTTP connections with requests of our own and without a log."""
+"""A light HTTP server factory with custom requests and no access log."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,10 +7,10 @@
 
 
 class RequestFactory(http.HTTPFactory):
-    """Makes plain HTTP channels whose requests a function makes.
+    """Makes HTTP channels that use a custom request factory.
 
-    Twisted's own factory wraps each channel for a second protocol, keeps the
-    date for an access log and writes one.
+    Twisted's own factory wraps each channel to support HTTP/2, updates the
+    date for an access log and writes that log.
     """
 
     noisy = False
@@ -25,8 +25,8 @@
         """Makes a factory.
 
         Args:
-            reactor: Times idle connections.
-            make_request: Makes a request from its channel.
+            reactor: The reactor, for the timeouts of idle connections.
+            make_request: Makes the request object of a channel.
             channel_type: The class of the channels.
         """
         super().__init__(reactor=reactor)
@@ -34,16 +34,16 @@
         self._channel_type = channel_type
 
     def startFactory(self) -> None:  # noqa: N802
-        """Opens no access log."""
+        """Does nothing, as there is no access log."""
 
     def stopFactory(self) -> None:  # noqa: N802
-        """Has no access log to close."""
+        """Does nothing, as there is no access log."""
 
     def log(self, request: Any) -> None:
-        """Writes no access log; decisions have lines of their own."""
+        """Does nothing; the decision log has lines about requests instead."""
 
     def buildProtocol(self, addr: Any) -> http.HTTPChannel:  # noqa: N802
-        """Returns the channel of a new connection."""
+        """Returns the channel for a new connection."""
         channel = self._channel_type()
         channel.factory = self
         channel.requestFactory = self._make_request
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/metrics.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/metrics.py
@@ -1,9 +1,10 @@
 """Counters, gauges and latency histograms of one daemon.
 
-Services hold a metric for each time series and change plain numbers in it; the
-metrics are copied into an aioprometheus registry when somebody asks. Changing
-a series inside the registry costs some 3 us a time, as it encodes the labels
-anew, and a streamed answer touches several series for each token.
+Services hold a metric object for each time series and change plain numbers in
+it. The values are copied into an aioprometheus registry when the metrics are
+rendered. Changing a series in the registry itself takes some 3 us each time, as
+it encodes the labels again, and a streamed answer changes several series per
+token.
 """
 
 import bisect
@@ -20,8 +21,8 @@
 
 PREFIX = "bulrushgrade_"
 
-# Seconds. A token follows another within tens of milliseconds, a short chat
-# takes some seconds and a long reading up to minutes.
+# Upper bounds in seconds. Tokens follow each other within tens of milliseconds,
+# a short chat takes some seconds, and a long prefill up to minutes.
 LATENCY_BUCKETS_S = (
     0.001,
     0.0025,
@@ -45,42 +46,43 @@
 
 @attrs.define(kw_only=True)
 class Counter:
-    """A number that only goes up.
+    """A number that only increases.
 
     Attributes:
-        value: The number.
+        value: The current value.
     """
 
     value: int = 0
 
     def add(self, amount: int = 1) -> None:
-        """Raises the number."""
+        """Increases the value."""
         self.value += amount
 
 
 @attrs.define(kw_only=True)
 class Gauge:
-    """A number that goes up and down.
+    """A number that can increase and decrease.
 
     Attributes:
-        value: The number, where no function gives it.
-        read: Returns the number, asked when metrics are rendered.
+        value: The current value, unless `read` is set.
+        read: Returns the current value; called when metrics are rendered.
     """
 
     value: float = 0.0
     read: Callable[[], float] | None = None
 
     def get(self) -> float:
-        """Returns the present number."""
+        """Returns the current value."""
         return self.value if self.read is None else self.read()
 
 
 @attrs.define(kw_only=True)
 class Histogram:
-    """Observations counted by bucket.
+    """Counts of observations by bucket.
 
     Attributes:
-        counts: Observations a bucket, the last one for all beyond the bounds.
+        counts: Observations per bucket; the last one is for all values above
+            the largest bound.
         total: The sum of the observations.
     """
 
@@ -90,7 +92,7 @@
     total: float = 0.0
 
     def observe(self, value_s: float) -> None:
-        """Counts an observation in seconds."""
+        """Adds an observation in seconds."""
         self.counts[bisect.bisect_left(LATENCY_BUCKETS_S, value_s)] += 1
         self.total += value_s
 
@@ -100,7 +102,7 @@
 
 @attrs.define(kw_only=True)
 class _Family:
-    """The series of one name."""
+    """All time series of one metric name."""
 
     collector: Any
     metric_type: type
@@ -108,7 +110,7 @@
 
 
 class Metrics:
-    """The service that other services take their metrics from by name."""
+    """Creates, renders and dumps the metrics of all services."""
 
     name = "metrics"
     requires: tuple[str, ...] = ()
@@ -119,13 +121,13 @@
         self._counts: list[tuple[str, str, Callable]] = []
 
     async def start(self) -> None:
-        """Opens nothing."""
+        """Does nothing; there is nothing to open."""
 
     async def stop(self) -> None:
-        """Closes nothing."""
+        """Does nothing; there is nothing to close."""
 
     def receive(self, message: Any) -> None:
-        """Takes no messages; metrics are shared objects."""
+        """Raises an error: metrics are shared objects, not sent as messages."""
         raise errors.BrokenInvariantError(
             f"metrics got a {type(message).__name__}"
         )
@@ -133,13 +135,13 @@
     def counter(
         self, name: str, doc: str, labels: Mapping[str, str] | None = None
     ) -> Counter:
-        """Returns the counter of a name and labels; the same one each time.
+        """Returns the counter for a name and labels, always the same object.
 
         Args:
-            name: Without prefix; ends in ``_total``.
-            doc: What it counts, for a person.
-            labels: Label values by label name; few values a label, since
-                each combination is a series.
+            name: The name without prefix; ends in ``_total``.
+            doc: The help text: what it counts.
+            labels: Label values by label name. A label should have few
+                values, as each combination is a time series.
         """
         _check_suffix(name, ("_total",))
         return self._find(name, doc, labels, aioprometheus.Counter, Counter)
@@ -151,13 +153,13 @@
         labels: Mapping[str, str] | None = None,
         read: Callable[[], float] | None = None,
     ) -> Gauge:
-        """Returns the gauge of a name and labels; the same one each time.
+        """Returns the gauge for a name and labels, always the same object.
 
         Args:
-            name: Without prefix, with its unit unless it is a plain number.
-            doc: What it shows, for a person.
+            name: The name without prefix, with its unit if it has one.
+            doc: The help text: what it shows.
             labels: Label values by label name.
-            read: Gives the value when asked; without it the owner sets it.
+            read: Returns the current value; if None, the owner sets it.
         """
         gauge = self._find(name, doc, labels, aioprometheus.Gauge, Gauge)
         if read is not None:
@@ -167,11 +169,11 @@
     def histogram(
         self, name: str, doc: str, labels: Mapping[str, str] | None = None
     ) -> Histogram:
-        """Returns the latency histogram of a name and labels.
+        """Returns the latency histogram for a name and labels.
 
         Args:
-            name: Without prefix; ends in ``_seconds``.
-            doc: What it measures, for a person.
+            name: The name without prefix; ends in ``_seconds``.
+            doc: The help text: what it measures.
             labels: Label values by label name.
         """
         _check_suffix(name, ("_seconds",))
@@ -180,18 +182,19 @@
     def register_counts(
         self, name: str, doc: str, read: Callable[[], Mapping[str, int]]
     ) -> None:
-        """Shows counts that a service keeps by itself as one family.
+        """Exports the counts that a service keeps itself as one metric.
 
         Args:
-            name: Without prefix; ends in ``_total``.
-            doc: What they count, for a person.
-            read: Returns the counts; their names become the label ``what``.
+            name: The name without prefix; ends in ``_total``.
+            doc: The help text: what they count.
+            read: Returns the counts by name; the names become values of the
+                label ``what``.
         """
         _check_suffix(name, ("_total",))
         self._counts.append((name, doc, read))
 
     def render(self) -> bytes:
-        """Returns all series in the text format of Prometheus."""
+        """Returns all time series in the Prometheus text format."""
         for name, doc, read in self._counts:
             for what, value in read().items():
                 self.counter(name, doc, {"what": what}).value = value
@@ -202,7 +205,7 @@
         return content
 
     def dump(self) -> dict[str, Any]:
-        """Returns counters and gauges by series, ready for JSON."""
+        """Returns the values of all time series, serializable as JSON."""
         return {
             _format_series(name, labels): _summarize(metric)
             for name, family in self._families.items()
@@ -225,7 +228,9 @@
             family = _Family(collector=collector, metric_type=metric_type)
             self._families[name] = family
         if family.metric_type is not metric_type:
-            raise errors.BrokenInvariantError(f"{name} has two types")
+            raise errors.BrokenInvariantError(
+                f"metric {name} is registered with two types"
+            )
         key = tuple(sorted((labels or {}).items()))
         if key not in family.metrics:
             family.metrics[key] = metric_type()
@@ -234,7 +239,9 @@
 
 def _check_suffix(name: str, suffixes: tuple[str, ...]) -> None:
     if not name.endswith(suffixes):
-        raise errors.BrokenInvariantError(f"{name} does not name its unit")
+        raise errors.BrokenInvariantError(
+            f"metric name {name} lacks its unit suffix"
+        )
 
 
 def _export(metric: Any) -> Any:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/pages.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/pages.py
@@ -1,4 +1,4 @@
-"""A few plain pages over HTTP: readiness, metrics, dumps."""
+"""A minimal HTTP server for readiness, metrics and dump pages."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,11 +11,11 @@
 
 @attrs.frozen(kw_only=True)
 class Page:
-    """What a page shows at the moment.
+    """The content of a page at the time of a request.
 
     Attributes:
-        status: The status code.
-        content_type: Of the body.
+        status: The HTTP status code.
+        content_type: The content type of the body.
         body: The body.
     """
 
@@ -28,7 +28,7 @@
     find: Callable[[str], Page]
 
     def process(self) -> None:
-        """Answers with the page of the path."""
+        """Answers with the page for the path."""
         page = self.find(self.path.decode("latin-1"))
         self.setResponseCode(page.status)
         self.responseHeaders.setRawHeaders(b"content-type", [page.content_type])
@@ -40,7 +40,7 @@
 
 
 class PageServer:
-    """Serves pages at one address."""
+    """Serves pages on one address."""
 
     requires: tuple[str, ...] = ()
 
@@ -56,11 +56,11 @@
         """Makes the service.
 
         Args:
-            name: The service's name.
-            reactor: Where it listens.
-            host: The IP number.
-            port: The port.
-            find: Returns the page of a path.
+            name: The name of the service.
+            reactor: The reactor that the server runs in.
+            host: The IP address to listen on.
+            port: The port to listen on.
+            find: Returns the page for a path.
         """
         self.name = name
         self._reactor = reactor
@@ -71,12 +71,12 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, ``IP:PORT``."""
+        """The address that it listens on, ``IP:PORT``."""
         bound = self._port.getHost()
         return f"{bound.host}:{bound.port}"
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts to listen."""
 
         def make_request(channel: Any, queued: Any = None) -> _PageRequest:
             request = _PageRequest(channel, queued)
@@ -96,8 +96,8 @@
             await self._port.stopListening()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns where it listens."""
+        """Returns the address that it listens on."""
         return {"address": self.address if self._port else None}
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementservice.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementservice.py
@@ -1,7 +1,7 @@
 """The service that owns the scheduler of this host.
 
-Others ask it for a place and tell it how requests go on; it asks the
-scheduler again whenever something may have become free.
+Other services ask it which endpoint a request goes to and report the progress
+of requests. It polls the scheduler whenever capacity may have become free.
 """
 
 from collections.abc import Callable
@@ -16,11 +16,11 @@
 from bulrushgrade import work as work_module
 from bulrushgrade_daemon import engine
 
-# Queued work is looked at again this often at the least, so that a request
-# whose deadline has become hopeless is told so at once.
+# Interval at which queued work is reconsidered at the latest, so that a request
+# that can't meet its deadline any more is refused at once.
 POLL_S = 0.05
 
-# How a placed request ended, as the scheduler calls it.
+# Outcomes of a placed request, in the scheduler's terms.
 COMPLETE = "complete"
 FAILED = "failed"
 
@@ -34,11 +34,11 @@
 
 @attrs.frozen(kw_only=True)
 class PollResult:
-    """An engine's report as it was read, or that it could not be read.
+    """The result of polling an engine for its load report.
 
     Attributes:
-        address: The engine.
-        load: Its report, or None where it did not answer.
+        address: The engine's address.
+        load: Its report, or None if it did not answer.
     """
 
     address: str
@@ -47,11 +47,11 @@
 
 @attrs.frozen(kw_only=True)
 class PeerLoads:
-    """What another host has in flight.
+    """The requests that another host has in flight.
 
     Attributes:
         peer: The host.
-        loads: One entry an endpoint.
+        loads: One entry per endpoint.
     """
 
     peer: str
@@ -59,7 +59,7 @@
 
 
 class PlacementService:
-    """Places requests and keeps the scheduler's view of endpoints fresh."""
+    """Places requests and keeps the scheduler's view of endpoints current."""
 
     name = "placing"
     requires = ("timer",)
@@ -75,9 +75,10 @@
 
         Args:
             timers: The timer service.
-            core: The decisions.
-            on_changed: Called with an engine's address when it takes work
-                no more or again.
+            core: The scheduler.
+            on_changed: Called with an engine's address when its reported
+                configuration changes, or when new work is blocked or allowed
+                again.
         """
         self._timers = timers
         self._core = core
@@ -91,34 +92,34 @@
 
     @property
     def hosts(self) -> dict[str, membership.Host]:
-        """The endpoints on the host list, by address."""
+        """The endpoints in the host list, by address."""
         return self._hosts
 
     @property
     def loads(self) -> dict[str, engine.EngineLoad]:
-        """The last report of each engine, by address."""
+        """The latest report of each engine, by address."""
         return self._loads
 
     @property
     def endpoints(self) -> dict[str, work_module.Endpoint]:
-        """The endpoints as the scheduler was last told, by address."""
+        """The endpoints that were last passed to the scheduler, by address."""
         return self._endpoints
 
     @property
     def now(self) -> float:
-        """The time that decisions are made at, in seconds."""
+        """The current time, as used for decisions, in seconds."""
         return self._timers.now
 
     async def start(self) -> None:
-        """Begins to look at queued work again and again."""
+        """Starts to poll the scheduler periodically."""
         self._poll = self._timers.every(POLL_S, self._resolve_queued)
 
     async def stop(self) -> None:
-        """Stops looking; nothing is queued any more by then."""
+        """Stops polling; nothing is queued any more by then."""
         self._poll.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes lists of hosts, engines' reports and peers' loads."""
+        """Applies host lists, engines' reports and peers' loads."""
         if isinstance(message, membership.HostList):
             self._apply_hosts(message.hosts)
         elif isinstance(message, PollResult):
@@ -127,7 +128,7 @@
             self._core.peer_load(message.peer, message.loads, self.now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the scheduler's state and the last reports."""
+        """Returns the scheduler's state and the latest reports."""
         return {
             "queued": len(self._queued),
             "held": sorted(self._blocked),
@@ -138,14 +139,14 @@
     def set_policies(
         self, policies: Iterable[work_module.ServicePolicy]
     ) -> None:
-        """Puts the accepted documents' policies in force."""
+        """Passes the policies of the accepted documents to the scheduler."""
         self._core.set_policies(tuple(policies))
 
     def block_new_work(self, address: str, *, blocked: bool) -> None:
-        """Keeps new work from an engine, or no longer.
+        """Blocks new work for an engine, or allows it again.
 
         Used before a planned change, so that nothing is sent to an engine
-        that is about to be away.
+        that is about to be unavailable.
         """
         if blocked == (address in self._blocked):
             return
@@ -154,7 +155,7 @@
         self._on_changed(address)
 
     def in_flight(self, address: str) -> int:
-        """Returns how many requests of this host are at an endpoint."""
+        """Returns how many requests this host has running at an endpoint."""
         return sum(
             load.running
             for load in self._core.own_loads()
@@ -162,13 +163,13 @@
         )
 
     def own_loads(self) -> tuple[work_module.PeerLoad, ...]:
-        """Returns what this host has in flight, for its peers."""
+        """Returns the requests that this host has in flight, for its peers."""
         return tuple(self._core.own_loads())
 
     async def offer(
         self, work: work_module.Work
     ) -> work_module.Placed | work_module.Refused:
-        """Returns where a request goes, waiting while it is queued."""
+        """Returns where a request goes; waits while the request is queued."""
         return await self._await_decision(self._core.offer(work, self.now))
 
     async def retry(
@@ -183,9 +184,9 @@
 
         Args:
             request_id: The request.
-            failed_endpoint: Where the attempt was.
-            tokens_done: Tokens of the answer that the caller has.
-            started: False where the endpoint certainly did not start it.
+            failed_endpoint: The endpoint of the failed attempt.
+            tokens_done: Tokens of the answer that the caller already has.
+            started: False if the endpoint certainly did not start it.
         """
         return await self._await_decision(
             self._core.retry(
@@ -198,16 +199,16 @@
         )
 
     def first_token(self, request_id: str) -> None:
-        """Notes that a request's first token came."""
+        """Records that the first token of an answer arrived."""
         self._core.first_token(request_id, self.now)
         self._resolve_queued()
 
     def prefill_done(self, request_id: str) -> None:
-        """Notes that the prompt was read, before its KV cache moves."""
+        """Records that the prefill is done, before the KV cache is moved."""
         self._core.prefill_done(request_id, self.now)
 
     def tokens(self, request_id: str, count: int) -> None:
-        """Notes that an answer has so many tokens in all by now."""
+        """Records how many tokens of an answer have arrived in total."""
         self._core.tokens(request_id, count, self.now)
 
     def finished(
@@ -216,18 +217,19 @@
         outcome: str,
         cached_tokens: int | None = None,
     ) -> None:
-        """Notes that a request has ended; something may be free now.
+        """Records that a request has ended; this may free capacity.
 
         Args:
             request_id: The request.
             outcome: `COMPLETE` or `FAILED`.
-            cached_tokens: Prompt tokens that were cached, if the engine says.
+            cached_tokens: Prompt tokens that were cached, if the engine
+                reported them.
         """
         self._core.finished(request_id, outcome, self.now, cached_tokens)
         self._resolve_queued()
 
     def cancel(self, request_id: str) -> None:
-        """Drops a request whose caller is gone, queued or running."""
+        """Drops a queued or running request whose caller disconnected."""
         self._core.cancel(request_id, self.now)
         pending = self._queued.pop(request_id, None)
         if pending is not None:
@@ -262,8 +264,9 @@
             return
         before = self._loads.get(result.address)
         if result.load is None:
-            # Silence says nothing about the engine's state: it may be busy,
-            # or the link to it cut. Ejection judges it by how requests go.
+            # A missing answer says nothing about the engine's state: it may be
+            # busy, or the link to it may be down. Ejection decides by the
+            # outcomes of requests instead.
             return
         load = result.load
         self._loads[result.address] = load
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/plain.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/plain.py
@@ -1,4 +1,4 @@
-"""The adapter to plain services: one whole answer for one request."""
+"""The adapter to plain services, which give one complete answer per request."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,11 +12,13 @@
 from bulrushgrade_daemon import engine
 from bulrushgrade_daemon import httpclient
 
-# Answers are held whole before the caller sees a byte, so that a cut one can
-# be told and, where allowed, repeated; the bound is what one costs in memory.
+# An answer is buffered completely before the caller gets a byte of it, so that
+# a truncated one is detected and, where allowed, the request retried. This
+# limits the memory per answer.
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
-# Headers that belong to one connection, or that this host sets itself: a
-# caller that named an attempt could make its answer look like another's.
+# Headers that belong to a single connection, or that this host sets itself. A
+# caller that could set the attempt id could make its answer look like the
+# answer to another request.
 HOP_BY_HOP_HEADERS = frozenset({
     "connection", "keep-alive", "proxy-authenticate", "proxy-authorization",
     "te", "trailer", "transfer-encoding", "upgrade", "host",
@@ -27,15 +29,15 @@
 
 @attrs.frozen(kw_only=True)
 class PlainCall:
-    """One attempt at a plain service.
+    """One attempt to run a request on a plain service.
 
     Attributes:
         attempt_id: Unique for this attempt.
         request_id: The caller's request.
         address: The endpoint's ``IP:PORT``.
         method: The HTTP method.
-        path: Path and query as the endpoint takes them.
-        headers: Headers to pass on.
+        path: The path and query for the endpoint.
+        headers: The headers to forward.
         body: The request's body.
     """
 
@@ -50,12 +52,12 @@
 
 @attrs.frozen(kw_only=True)
 class PlainAnswer:
-    """A whole answer.
+    """A complete answer of a plain service.
 
     Attributes:
-        status: Its HTTP status.
-        headers: Its headers, without those of the connection.
-        body: Its body.
+        status: The HTTP status.
+        headers: The headers, without hop-by-hop headers.
+        body: The body.
     """
 
     status: int
@@ -64,7 +66,7 @@
 
 
 class _Body(protocol.Protocol):
-    """Collects a bounded body and tells whether it came whole."""
+    """Buffers a body up to its limit and checks that it is complete."""
 
     def __init__(self):
         self._parts: list[bytes] = []
@@ -85,9 +87,9 @@
         if reason.check(web_client.ResponseDone):
             self._finish(b"".join(self._parts))
         else:
-            # Includes PotentialDataLoss: without a length, a cut answer and a
-            # whole one look the same.
-            self._finish(engine.Lost(reason="answer was cut"))
+            # Includes PotentialDataLoss: without a length, a truncated answer
+            # looks the same as a complete one.
+            self._finish(engine.Lost(reason="answer was truncated"))
 
     def _finish(self, outcome: Any) -> None:
         if not self.done.called:
@@ -105,17 +107,17 @@
         self._shared = httpclient.open_client(reactor)
 
     async def start(self) -> None:
-        """Opens nothing; connections come with the first call."""
+        """Does nothing; connections are opened by the first call."""
 
     async def stop(self) -> None:
         """Closes the idle connections."""
         await self._shared.pool.closeCachedConnections()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns nothing; the relay counts requests."""
+        """Returns no state; the relay counts requests."""
         return {}
 
     async def send(
@@ -126,11 +128,11 @@
         non_repeatable: bool = False,
         check: Callable[[], bool] | None = None,
     ) -> PlainAnswer | engine.NotStarted | engine.Lost:
-        """Sends one attempt and returns its whole answer or what is known.
+        """Sends one attempt and returns its complete answer or how it failed.
 
         Args:
             call: The attempt.
-            timeout_s: How long the whole answer may take.
+            timeout_s: How long the complete answer may take.
             non_repeatable: Whether the request must not be repeated. It is then
                 sent on a connection of its own, never on a pooled one, whose
                 state is uncertain.
@@ -171,9 +173,9 @@
         outcome = await body.done
         if isinstance(outcome, engine.Lost):
             return outcome
-        # Failure guarded against: an answer to an earlier request on the same
-        # connection, given to this one. A service that names the attempt that
-        # it answers lets it be seen.
+        # Guards against a late answer to an earlier request on the same
+        # connection being taken as the answer to this one. It is detected if
+        # the service names the attempt that it answers.
         named = response.headers.getRawHeaders(engine.ATTEMPT_HEADER)
         if named is not None and named != [call.attempt_id]:
             return engine.Lost(reason="answer to another request")
@@ -192,7 +194,7 @@
 def drop_hop_by_hop_headers(
     headers: list[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the headers that go through, without a connection's own."""
+    """Returns the headers to forward, without hop-by-hop headers."""
     return tuple(
         (name, value)
         for name, value in headers
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
@@ -1,8 +1,8 @@
-"""What a caller is told when its request is not answered.
+"""Refusals: the error answers that callers get.
 
-A refusal says whether anything ran. ``not_run`` is said only where no byte of
-the request reached an endpoint, or the endpoint itself said that it did not
-start; every doubt is ``unknown``.
+A refusal says whether the request ran. It says ``not_run`` only if no byte of
+the request reached an endpoint, or if the endpoint reported that it did not
+start the request; in every other doubtful case it says ``unknown``.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 from bulrushgrade import work
 
-# After a deadline was missed: the load that caused it has to pass first.
+# Retry delay after a missed deadline, so that the load that caused it can pass.
 DEADLINE_RETRY_AFTER_S = 1.0
 _RATE_LIMIT_CODES = frozenset(
     {
@@ -24,7 +24,7 @@
 
 
 class RunStatus(enum.Enum):
-    """Whether the work of a request was done."""
+    """Whether a request ran at an endpoint."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -33,15 +33,15 @@
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """An answer that is not the one asked for.
+    """An error answer to a caller.
 
     Attributes:
         status: The HTTP status.
-        code: A stable name for programs.
-        message: A sentence for a person.
-        ran: Whether anything ran.
-        retry_after_s: When to come back, in seconds, or None where coming
-            back does not help.
+        code: A stable error code for programs.
+        message: A description for people.
+        ran: Whether the request ran.
+        retry_after_s: After how many seconds to retry, or None if a retry
+            does not help.
     """
 
     status: int
@@ -57,7 +57,7 @@
 
 
 def describe(refusal: Refusal) -> dict[str, str | float | None]:
-    """Returns the fields of a refusal that a caller sees."""
+    """Returns the fields of a refusal as they are sent to the caller."""
     return {
         "code": refusal.code,
         "message": refusal.message,
@@ -78,14 +78,14 @@
     return Refusal(
         status=504,
         code="deadline",
-        message="the answer could not be had in time",
+        message="the answer could not be completed before the deadline",
         ran=ran,
         retry_after_s=DEADLINE_RETRY_AFTER_S,
     )
 
 
 def outcome_unknown() -> Refusal:
-    """Returns the refusal of what must not be repeated and may have run."""
+    """Returns the refusal of a non-repeatable request that may have run."""
     return Refusal(
         status=502,
         code="outcome_unknown",
@@ -95,12 +95,12 @@
 
 
 def bad_request(message: str, *, status: int = 400, code: str = "bad_request"):
-    """Returns the refusal of a request that is wrong in itself."""
+    """Returns the refusal of an invalid request."""
     return Refusal(status=status, code=code, message=message)
 
 
 def not_ready(reason: str, retry_after_s: float) -> Refusal:
-    """Returns the refusal of a daemon that can't decide yet."""
+    """Returns the refusal of a daemon that is not ready."""
     return Refusal(
         status=503,
         code="not_ready",
@@ -110,11 +110,11 @@
 
 
 def from_decision(refused: work.Refused, ran: RunStatus) -> Refusal:
-    """Returns the refusal that tells a caller of a decision.
+    """Returns the refusal for a scheduler's decision.
 
     Args:
         refused: The decision.
-        ran: What is known of attempts before it.
+        ran: Whether earlier attempts ran.
     """
     status = 404 if refused.code is work.RefusalCode.UNKNOWN_SERVICE else 503
     if refused.code in _RATE_LIMIT_CODES:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/reply.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/reply.py
@@ -1,4 +1,4 @@
-"""Writes answers and refusals to callers."""
+"""Writes answers and refusals to callers' HTTP requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def refuse(http_request: Any, refused: refusal.Refusal) -> bytes:
-    """Sets the head of a refusal and returns its body."""
+    """Sets the status and headers of a refusal and returns its body."""
     http_request.setResponseCode(refused.status)
     http_request.setHeader("Content-Type", "application/json")
     after = refusal.format_retry_after(refused)
@@ -27,7 +27,7 @@
 
 
 def forward_answer(http_request: Any, answer: plain.PlainAnswer) -> bytes:
-    """Sets the head of a plain service's answer and returns its body."""
+    """Sets the status and headers of a plain answer; returns its body."""
     http_request.setResponseCode(answer.status)
     for name, value in answer.headers:
         http_request.responseHeaders.addRawHeader(name, value)
@@ -35,7 +35,7 @@
 
 
 class ModelReply:
-    """One model answer on its way to a caller, as a stream or whole."""
+    """Writes the answer of one model request, streamed or in one piece."""
 
     def __init__(
         self,
@@ -59,19 +59,19 @@
         return getattr(self._http_request, "channel", None)
 
     def bind(self, job: relay.ModelJob) -> None:
-        """Ties the reply to the request that it answers."""
+        """Sets the job that the reply belongs to."""
         self._job = job
 
     def set_flow_control(
         self, *, timers: Any, stall_s: float, on_stall: Callable[[], None]
     ) -> None:
-        """Passes the caller's reading speed on to the engine.
+        """Sets up backpressure from the caller's connection to the engine.
 
         Args:
             timers: The timer service.
-            stall_s: How long a caller may leave its buffer full.
-            on_stall: Called when it has for longer: its engine's place and the
-                buffers are worth more to others.
+            stall_s: How long the caller's buffer may stay full.
+            on_stall: Called when it has stayed full for longer. The engine
+                slot and the buffers are then freed for other requests.
         """
         job = self._job
         stall_timer: Any = None
@@ -84,8 +84,8 @@
         def stall() -> None:
             channel = self._channel
             on_stall()
-            # What is in its buffer will not be read, so a close that waits
-            # for the buffer would never come.
+            # The caller does not read its buffer, so a close that waits for
+            # the buffer to drain would never complete.
             if channel is not None:
                 channel.forceAbortClient()
 
@@ -103,7 +103,7 @@
         )
 
     def write_event(self, event: engine.Event) -> None:
-        """Takes an event of the answer, in order."""
+        """Writes the next event, or collects it for an unstreamed answer."""
         if not self._completion_request.stream:
             self._last_event = event
             if event.text is not None:
@@ -111,14 +111,14 @@
             return
         if not self._stream_started:
             self._start_stream()
-        # Callers see one id for the whole answer, whichever attempts it took.
+        # The caller sees one id for all events, whichever attempt sent them.
         raw = event.raw.replace(
             event.attempt_id.encode(), self._request_id.encode(), 1
         )
         self._http_request.write(b"data: " + raw + b"\n\n")
 
     def finish(self, refused: refusal.Refusal | None) -> bytes:
-        """Returns what is left to write once the request has ended."""
+        """Returns the last bytes to write after the request has ended."""
         if self._stream_started and self._channel is not None:
             self._http_request.unregisterProducer()
         if refused is None:
@@ -129,8 +129,8 @@
             )
         if not self._stream_started:
             return refuse(self._http_request, refused)
-        # The status is long sent; the missing end marker and this event tell
-        # the caller that the answer is cut.
+        # The status has been sent already. This event and the missing end
+        # marker tell the caller that the answer is incomplete.
         return b"data: " + refusal.serialize_refusal(refused) + b"\n\n"
 
     def _start_stream(self) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
@@ -1,4 +1,4 @@
-"""Callers' requests for a model, parsed and checked."""
+"""Parses and validates callers' requests for a model."""
 
 from typing import Any
 
@@ -12,10 +12,10 @@
 
 COMPLETIONS_PATH = "/v1/completions"
 CHAT_PATH = "/v1/chat/completions"
-# What an answer is expected to take where the caller sets no limit.
+# Expected tokens of an answer if the caller sets no limit.
 DEFAULT_MAX_TOKENS = 256
 MAX_MAX_TOKENS = 1_000_000
-# Fields that the daemon sets itself on the way to an engine.
+# Fields that the daemon sets itself in requests to engines.
 RESERVED_FIELDS = frozenset({
     "stream", "priority", "resume_tokens", "kv_export", "kv_import", "model",
     "stream_options",
@@ -27,12 +27,13 @@
     """A request for a model.
 
     Attributes:
-        path: Which of the two interfaces it came by.
-        model: The model, or the service that offers one.
-        text: All that the model reads, for estimating and for prefixes.
-        max_tokens: At most so many tokens are generated.
+        path: The path it was sent to, for completions or chat completions.
+        model: The name of a model, or of a service that offers one.
+        text: The complete prompt, used to estimate tokens and to find cached
+            prefixes.
+        max_tokens: The maximum number of tokens to generate.
         stream: Whether the caller wants a stream of events.
-        fields: The caller's fields that go to the engine as they are.
+        fields: The caller's fields that are forwarded to the engine unchanged.
     """
 
     path: str
@@ -44,14 +45,14 @@
 
     @property
     def is_chat(self) -> bool:
-        """Whether the answer has the form of a chat."""
+        """Whether the answer has the chat completion format."""
         return self.path == CHAT_PATH
 
 
 def parse_completion(
     raw: bytes, path: str
 ) -> Result[CompletionRequest, refusal.Refusal]:
-    """Parses and checks the JSON body of a request for a model.
+    """Parses and validates the JSON body of a request for a model.
 
     Args:
         raw: The body.
@@ -79,10 +80,10 @@
         or not 1 <= max_tokens <= MAX_MAX_TOKENS
     ):
         return _refuse(
-            f"'max_tokens' must be a whole number from 1 to {MAX_MAX_TOKENS}"
+            f"'max_tokens' must be an integer from 1 to {MAX_MAX_TOKENS}"
         )
     if body.get("n", 1) != 1:
-        return _refuse("'n' must be 1: one answer a request")
+        return _refuse("'n' must be 1: a request has one answer")
     fields = {k: v for k, v in body.items() if k not in RESERVED_FIELDS}
     fields["max_tokens"] = max_tokens
     return Success(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/task.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/task.py
@@ -1,4 +1,4 @@
-"""Runs coroutines whose failure would be a broken invariant."""
+"""Runs coroutines in which an exception is a broken invariant."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -16,16 +16,17 @@
 ) -> defer.Deferred:
     """Runs a coroutine until it ends or is cancelled.
 
-    Coroutines here return outcomes as values, so an exception means that the
-    state behind it can't be trusted any more.
+    Coroutines in this package return failures as values. So an exception means
+    that the state of the program can't be trusted any more.
 
     Args:
         work: The coroutine.
-        name: What it is called in the reason.
-        on_broken: Called with the reason; must stop the process.
+        name: The name of the coroutine in the reported reason.
+        on_broken: Called with the traceback; must stop the process.
 
     Returns:
-        Fires with the coroutine's value; cancel it to end the coroutine.
+        A Deferred that fires with the coroutine's result; cancelling it cancels
+        the coroutine.
     """
     running = defer.Deferred.fromCoroutine(work)
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/zmqreactor.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/zmqreactor.py
@@ -1,11 +1,12 @@
-"""ZeroMQ sockets inside the Twisted reactor.
-
-The descriptor that a ZeroMQ socket offers to an event loop is edge triggered:
-it turns readable once when something happened to the socket, and any call on
-the socket, a send too, may take that edge away while messages are waiting. A
-reader that only waits for the descriptor then stalls with a full queue, and
-its peer looks silent. The guards: every turn reads until the socket is empty
-or asks for another turn, and every send looks at the socket's events after.
+"""ZeroMQ sockets in the Twisted reactor.
+
+The file descriptor that a ZeroMQ socket offers to an event loop is
+edge-triggered: it becomes readable once when the state of the socket changes,
+and any call on the socket, even a send, may consume that edge while messages
+are waiting. A reader that only waits for the descriptor then stalls with a full
+queue, and its peer seems silent. To prevent this, each read continues until the
+socket is empty or schedules another read, and each send checks the socket's
+events afterwards.
 """
 
 from collections.abc import Callable
@@ -15,8 +16,8 @@
 import zmq
 from zope.interface import implementer
 
-# Messages handled in one turn. A peer that sends a flood must not keep the
-# reactor from relaying tokens; 50 small messages take about a millisecond.
+# Messages handled per reactor iteration. A peer that sends a flood of messages
+# must not block the relaying of tokens; 50 small messages take about 1 ms.
 MAX_MESSAGES_PER_ITERATION = 50
 
 
@@ -36,9 +37,9 @@
 
         Args:
             socket: A bound or connected socket; closed by `close`.
-            reactor: The reactor that the socket is read in.
+            reactor: The reactor that reads the socket.
             receive: Called with the frames of each message.
-            on_broken: Called with the reason when `receive` raises.
+            on_broken: Called with a description if `receive` raises.
         """
         self._socket = socket
         self._reactor = reactor
@@ -58,15 +59,15 @@
         return -1 if self._socket.closed else self._socket.FD
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Returns the name under which the reactor logs."""
+        """Returns the prefix of the reactor's log lines about this socket."""
         return "zmq"
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Closes the socket when the reactor gives up the descriptor."""
+        """Closes the socket when the reactor drops the descriptor."""
         self.close()
 
     def doRead(self) -> None:  # noqa: N802
-        """Reads what has come; called by the reactor."""
+        """Reads the waiting messages, up to a limit; called by the reactor."""
         for _ in range(MAX_MESSAGES_PER_ITERATION):
             if self._socket.closed:
                 return
@@ -82,11 +83,11 @@
         self._schedule_read()
 
     def send(self, frames: list[bytes]) -> bool:
-        """Sends a message without waiting.
+        """Sends a message without blocking.
 
         Returns:
-            False when the queue is full or the other end is not connected;
-            the message is then dropped.
+            False if the message was dropped, because the queue is full or the
+            peer is not connected.
         """
         try:
             self._socket.send_multipart(frames, zmq.NOBLOCK)
@@ -100,7 +101,7 @@
         return True
 
     def close(self) -> None:
-        """Stops reading and closes the socket; queued messages are lost."""
+        """Stops reading and closes the socket; drops queued messages."""
         if self._socket.closed:
             return
         self._reactor.removeReader(self)
--- a/packages/bulrushgrade_daemon/tests/callerload.py
+++ b/packages/bulrushgrade_daemon/tests/callerload.py
@@ -1,4 +1,4 @@
-"""Callers that go on asking, for tests under load."""
+"""Callers that send requests continuously, for tests under load."""
 
 import itertools
 import threading
@@ -9,10 +9,10 @@
 
 
 class Load:
-    """Callers that go on asking until they are stopped.
+    """Callers that send requests until the end of the ``with`` block.
 
-    Each takes a daemon that says it is ready, as the platform's balancer
-    would, with a connection of its own for every request.
+    Each request goes to a daemon that reports that it is ready, as the
+    platform's load balancer would choose it, on a new connection.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
 
     @property
     def answers(self) -> list[scene.StreamedAnswer]:
-        """What has been answered so far."""
+        """The answers so far."""
         return list(self._answers)
 
     def __enter__(self) -> "Load":
@@ -49,7 +49,7 @@
             thread.join(processes.LIMIT_S)
 
     def wait_answers(self, more: int) -> None:
-        """Waits until so many more requests have been answered."""
+        """Waits until the given number of further requests is answered."""
         wanted = len(self._answers) + more
         processes.wait_for(lambda: len(self._answers) >= wanted)
 
--- a/packages/bulrushgrade_daemon/tests/processes.py
+++ b/packages/bulrushgrade_daemon/tests/processes.py
@@ -1,7 +1,7 @@
-"""Starts daemons and stand-ins as processes of their own, for tests.
+"""Runs daemons and stand-ins as separate processes, for tests.
 
-Every process prints one line of JSON once it listens; the helpers wait for
-that line, and end what they started by process id, whatever the test does.
+Each process prints a line of JSON once it listens. The helpers wait for that
+line, and always kill the processes that they started, by process id.
 """
 
 from collections.abc import Iterator
@@ -20,13 +20,14 @@
 
 import attrs
 
-# Generous, since the machine may be busy; a wait ends with its event.
+# A long timeout, as the machine may be busy; waits end as soon as the event
+# occurs.
 LIMIT_S = 30.0
 _POLL_S = 0.02
 
 
 class Process:
-    """A process that was started."""
+    """A started process."""
 
     def __init__(self, *, popen: subprocess.Popen):
         self._popen = popen
@@ -35,12 +36,12 @@
 
     @property
     def ready(self) -> dict[str, Any]:
-        """What it prints once it listens; waits for that.
+        """The JSON that the process prints once it listens; waits for it.
 
-        Several processes started in a row thus come up at the same time.
+        As the wait is here, several processes can start up concurrently.
         """
-        # Of two threads that both saw the line come, one would wait for a
-        # second line that never does.
+        # Without the lock, two threads could both wait for the line, and one
+        # of them would wait for a second line that is never printed.
         with self._reading:
             if not self._ready:
                 self._ready = json.loads(_read_line(self._popen))
@@ -48,12 +49,12 @@
 
     @property
     def address(self) -> str:
-        """Where a stand-in listens, as ``IP:PORT``."""
+        """The address that a stand-in listens on, as ``IP:PORT``."""
         return self.ready["address"]
 
     @property
     def has_ended(self) -> bool:
-        """Whether the process is no longer there."""
+        """Whether the process has exited."""
         return self._popen.poll() is not None
 
     def send(self, number: signal.Signals) -> None:
@@ -61,13 +62,13 @@
         self._popen.send_signal(number)
 
     def wait(self, limit_s: float = LIMIT_S) -> int:
-        """Returns the exit code once the process has ended."""
+        """Waits for the process to exit and returns its exit code."""
         return self._popen.wait(limit_s)
 
     def end(self) -> None:
-        """Kills the process if it still runs."""
+        """Kills the process if it is still running."""
         if self._popen.poll() is None:
-            # A stopped process is killed too; it need not be continued.
+            # SIGKILL also ends a process that is stopped by SIGSTOP.
             self._popen.kill()
         self._popen.wait(LIMIT_S)
         self._popen.stdout.close()
@@ -78,9 +79,9 @@
     """An HTTP answer.
 
     Attributes:
-        code: The status.
+        code: The HTTP status.
         headers: The headers, with lower-case names.
-        body: The whole body.
+        body: The complete body.
     """
 
     code: int
@@ -104,7 +105,7 @@
         return self.start("bulrushgrade_standins", name, *options)
 
     def start(self, module: str, *arguments: str) -> Process:
-        """Runs a module that prints a line of JSON once it listens."""
+        """Runs a Python module that prints a line of JSON once it listens."""
         env = dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path))
         popen = subprocess.Popen(
             [sys.executable, "-m", module, *arguments],
@@ -116,14 +117,14 @@
         return process
 
     def stop(self) -> None:
-        """Ends every process that still runs."""
+        """Kills every process that is still running."""
         for process in self._started:
             process.end()
 
 
 @contextlib.contextmanager
 def running() -> Iterator[Processes]:
-    """Gives processes to start and ends them at the end of the block."""
+    """Yields an object to start processes with; kills them at the end."""
     processes = Processes()
     try:
         yield processes
@@ -138,7 +139,7 @@
             raise TimeoutError(f"{popen.args} printed nothing")
     line = popen.stdout.readline()
     if not line:
-        raise RuntimeError(f"{popen.args} ended before it listened")
+        raise RuntimeError(f"{popen.args} exited before it listened")
     return line
 
 
@@ -151,11 +152,11 @@
     limit_s: float = LIMIT_S,
     **headers: str,
 ) -> Answer:
-    """Sends one request on a connection of its own.
+    """Sends one request on a new connection.
 
     Raises:
         OSError: The connection failed or was reset.
-        http.client.HTTPException: The answer broke off.
+        http.client.HTTPException: The answer is incomplete.
     """
     sent = {name.replace("_", "-"): text for name, text in headers.items()}
     sent.setdefault("Content-Type", "application/json")
@@ -175,12 +176,12 @@
 
 
 def wait_for(condition: Any, limit_s: float = LIMIT_S) -> Any:
-    """Calls a condition until it is true, and returns what it returned."""
+    """Polls a condition until it is true; returns its last result."""
     end_s = time.monotonic() + limit_s
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > end_s:
-            raise TimeoutError("the condition did not come true")
+            raise TimeoutError("the condition did not become true")
         time.sleep(_POLL_S)
--- a/packages/bulrushgrade_daemon/tests/scene.py
+++ b/packages/bulrushgrade_daemon/tests/scene.py
@@ -1,7 +1,8 @@
-"""A small fleet with its daemons, for the tests of failures.
+"""A small fleet with its daemons, for the failure tests.
 
-One zone, one model service that may be repeated, one plain service whose
-posts may not, on stand-ins that run as processes of their own.
+It has one availability zone, a model service with repeatable requests, and a
+plain service whose POST requests are not repeatable. Their endpoints and the
+platform are stand-ins in separate processes.
 """
 
 from collections.abc import Callable
@@ -112,13 +113,13 @@
 
 @attrs.frozen(kw_only=True)
 class StreamedAnswer:
-    """What a caller saw of one streamed answer.
+    """A streamed answer as its caller received it.
 
     Attributes:
         request_id: The id that the caller gave.
-        code: The HTTP status; 0 where the connection broke before it.
-        tokens: The tokens in the order in which they came.
-        whole: Whether the end marker came.
+        code: The HTTP status, or 0 if the connection was lost before it.
+        tokens: The tokens in the order of arrival.
+        whole: Whether the answer is complete, with its end marker.
         error: The error object, or None.
         took_s: Seconds until the answer ended.
     """
@@ -132,7 +133,7 @@
 
     @property
     def ran(self) -> str:
-        """What the caller was told of its run, or ``""``."""
+        """What the error says about whether the request ran, or ``""``."""
         return (self.error or {}).get("ran", "")
 
 
@@ -147,17 +148,17 @@
     grace_s: float = 0.5,
     more: str = "",
 ) -> str:
-    """Writes the settings of a daemon on free ports; returns the file's path.
+    """Writes settings for a daemon on free ports; returns the file's path.
 
     Args:
-        directory: Where to.
+        directory: The directory of the file.
         name: The daemon's name.
         log: The log service's address.
         hosts: The host list's address.
         zone: The daemon's availability zone.
         region: The region of that zone.
-        grace_s: How long it serves on after it was told to stop.
-        more: Further lines: of limits, then other sections.
+        grace_s: How long it accepts requests after the signal to stop.
+        more: More lines: first of the limits, then of other sections.
     """
     text = _SETTINGS.format(
         name=name,
@@ -189,7 +190,7 @@
 
     @property
     def started(self) -> processes.Processes:
-        """Starts further processes."""
+        """The processes of the scene, to start more of them."""
         return self._started
 
     @property
@@ -210,7 +211,7 @@
         leaving: tuple[str, ...] = (),
         lag_s: float = 0.0,
     ) -> None:
-        """Sets the host list to these addresses."""
+        """Sets the host list to the given addresses."""
         hosts = [
             _host(address, kind, service, address in leaving)
             for kind, service, addresses in (
@@ -227,7 +228,7 @@
         """Starts a daemon; see `wait_ready`.
 
         Args:
-            limits: Further lines of its section of limits.
+            limits: More lines for its ``[limits]`` section.
         """
         name = f"entry-{next(self._numbers)}"
         file = write_settings(
@@ -269,7 +270,7 @@
 
 
 def is_ready(daemon: processes.Process) -> bool:
-    """Asks a daemon as the platform's balancer does."""
+    """Checks a daemon's readiness like the platform's load balancer."""
     try:
         answer = processes.call("GET", daemon.ready["callers"], "/readyz")
     except (OSError, http.client.HTTPException):
@@ -278,10 +279,10 @@
 
 
 def wait_ready(daemon: processes.Process, engines: int = 0) -> str:
-    """Waits until a daemon is ready and has seen so many engines.
+    """Waits until a daemon is ready and has reports of so many engines.
 
     Returns:
-        Its address for callers.
+        The daemon's address for callers.
     """
     processes.wait_for(lambda: is_ready(daemon))
     admin = daemon.ready["admin"]
@@ -295,13 +296,13 @@
 
 
 def fault(address: str, **faults: Any) -> None:
-    """Sets the faults of a stand-in; none ends them all."""
+    """Sets the faults of a stand-in; without any, it clears them all."""
     answer = processes.call("POST", address, "/fault", faults)
     assert answer.code == 200, answer.body
 
 
 def read_runs(*addresses: str) -> list[dict[str, Any]]:
-    """Returns the runs in the ledgers of endpoints."""
+    """Returns the runs that are recorded in the ledgers of endpoints."""
     return [
         run
         for address in addresses
@@ -310,7 +311,7 @@
 
 
 def expected(prompt: str, count: int) -> tuple[str, ...]:
-    """Returns the tokens of an answer that nothing cut."""
+    """Returns the tokens of a complete answer."""
     return tuple(completion.expected_tokens(prompt, count))
 
 
@@ -323,15 +324,15 @@
     on_token: Callable[[int], None] = lambda count: None,
     limit_s: float = processes.LIMIT_S,
 ) -> StreamedAnswer:
-    """Asks for a streamed answer whose prompt is the request's id.
+    """Requests a streamed answer, with the request's id as the prompt.
 
     Args:
-        address: Where to.
+        address: The daemon's address for callers.
         request_id: The caller's id for the request.
-        max_tokens: Tokens of the answer.
-        urgent: Whether the shorter deadline holds.
-        on_token: Called with the number of tokens after each.
-        limit_s: How long the connection may be silent.
+        max_tokens: The number of tokens in the answer.
+        urgent: Whether the shorter deadline applies.
+        on_token: Called after each token with the number of tokens so far.
+        limit_s: The timeout of each read from the connection.
     """
     body = {"model": "model", "prompt": request_id, "max_tokens": max_tokens}
     connection = http.client.HTTPConnection(address, timeout=limit_s)
@@ -394,7 +395,7 @@
 def stream_many(
     address: str, request_ids: list[str], **options: Any
 ) -> list[StreamedAnswer]:
-    """Asks for several streamed answers at once, each as `stream` does."""
+    """Requests several streamed answers concurrently; see `stream`."""
     with concurrent.futures.ThreadPoolExecutor(len(request_ids)) as pool:
         asked = [
             pool.submit(stream, address, request_id, **options)
@@ -404,7 +405,7 @@
 
 
 def assert_whole(answers: list[StreamedAnswer], max_tokens: int) -> None:
-    """Checks that every answer is the one that nothing cut."""
+    """Checks that every answer is complete and correct."""
     for answer in answers:
         assert answer.whole, answer
         assert answer.tokens == expected(answer.request_id, max_tokens)
--- a/packages/bulrushgrade_daemon/tests/test_badinput.py
+++ b/packages/bulrushgrade_daemon/tests/test_badinput.py
@@ -1,4 +1,4 @@
-"""Bad input of every kind gets a clear answer, and nothing hangs or is lost."""
+"""Tests that invalid input gets a clear error and makes nothing hang."""
 
 import json
 import socket
@@ -125,8 +125,9 @@
     ],
 )
 def test_slow_sender_times_out(fleet, sent):
-    # A caller that stops in the middle of its headers or body would hold a
-    # connection for good; many of them would leave none for others.
+    # Guards against callers that stop sending in the middle of their headers or
+    # body: each would occupy a connection forever, and many of them would leave
+    # none for others.
     begun_s = time.monotonic()
     assert b"HTTP/1.1 408 " in _raw(fleet, sent)
     assert time.monotonic() - begun_s < processes.LIMIT_S
@@ -138,8 +139,9 @@
 
 
 def test_caller_that_stops_reading_is_cancelled(fleet):
-    # A caller takes a long answer's beginning and then reads no more. Its
-    # engine must not go on for it, nor may its unread tokens fill the host.
+    # A caller reads the beginning of a long answer and then stops reading. Its
+    # engine must not continue, and its unread tokens must not fill the host's
+    # memory.
     scene.fault(fleet.engine.address, slow_factor=20.0)
     host, port = fleet.callers.split(":")
     body = json.dumps(
@@ -166,8 +168,8 @@
 
 
 def test_log_that_answers_nonsense_changes_nothing(fleet):
-    # The log's front answers with pages that make no sense for a while. The
-    # accepted documents stay in force and requests are served.
+    # The log service's proxy returns invalid pages for a while. The accepted
+    # documents must stay in force and requests must be served.
     scene.fault(fleet.log, nonsense=True)
     admin = fleet.daemon.ready["admin"]
 
--- a/packages/bulrushgrade_daemon/tests/test_failures_answers.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_answers.py
@@ -1,4 +1,4 @@
-"""Failures in the middle of answers, with real processes."""
+"""Tests of failures during answers, with separate processes."""
 
 import http.client
 import itertools
@@ -10,13 +10,13 @@
 import pytest
 import scene
 
-# Enough that each of two engines gets some of the requests sent at once.
+# Enough concurrent requests that each of two engines gets some of them.
 _AT_ONCE = 6
 _SLOW_TOKENS = 40
 
 
 def _start_fleet(started, directory, *options):
-    """Starts two engines, the second behind a link, and a daemon."""
+    """Starts two engines, the second behind a link proxy, and a daemon."""
     engines = [started.standin("engine", *options) for _ in range(2)]
     link = started.standin("link", engines[1].address)
     fleet = scene.Scene(started=started, directory=directory)
@@ -29,7 +29,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    """A fast fleet for faults that an engine brings about by itself."""
+    """A fleet of fast engines, for faults that the engines inject."""
     directory = tmp_path_factory.mktemp("settings")
     with processes.running() as started:
         yield _start_fleet(started, directory, "--speed", "20")
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def slow_fleet(tmp_path):
-    """A fresh fleet whose streams last for seconds, to be broken meanwhile."""
+    """A new fleet whose streams last for seconds, to interrupt them."""
     with processes.running() as started:
         yield _start_fleet(started, tmp_path)
 
@@ -55,9 +55,9 @@
 
 
 def _ask_until_hit(fleet, name, **faults):
-    """Asks until the fault of the first engine has hit one attempt.
+    """Sends requests until the first engine's fault has hit an attempt.
 
-    Placement may leave that engine aside for a while after earlier faults.
+    After earlier faults, placement may avoid that engine for a while.
     """
     address = fleet.engines[0].address
     scene.fault(address, **faults, attempts=1)
@@ -75,9 +75,9 @@
 @pytest.mark.usefixtures("_clear_faults")
 @pytest.mark.parametrize("sent", range(13))
 def test_engine_lost_at_any_token(fleet, sent):
-    # A tenant's answer would stop at some word. An engine dies after so many
-    # tokens, up to all of them but the end marker; the rest has to come from
-    # the other engine, with no token missing and none twice.
+    # Guards against truncated answers. An engine crashes after the given number
+    # of tokens, up to all of them without the end marker. The other engine has
+    # to continue, with no token missing or repeated.
     _ask_until_hit(fleet, f"lost-at-{sent}", die_after=sent)
 
 
@@ -98,16 +98,16 @@
     ids=lambda faults: "-".join(map(str, *faults.items())),
 )
 def test_broken_answers_are_completed(fleet, faults):
-    # A caller would take a cut answer for the whole one, see words twice, or
-    # get another's grade. The engine ends an answer early in good form,
-    # repeats an event, answers under another attempt's id or goes silent.
+    # Guards against truncated answers that look complete, repeated tokens and
+    # answers to other requests. The engine ends an answer early in valid form,
+    # repeats an event, answers with another attempt's id or goes silent.
     name = "broken-" + "-".join(map(str, *faults.items()))
     _ask_until_hit(fleet, name, **faults)
 
 
 @pytest.mark.usefixtures("_clear_faults")
 def test_unstreamed_answer_is_resumed_and_whole(fleet):
-    # The same for a caller who waits for the whole answer in one piece.
+    # Guards against the same for a caller that requests no stream.
     for engine in fleet.engines:
         scene.fault(engine.address, die_after=5, attempts=1)
     body = {"model": "model", "prompt": "one piece", "max_tokens": 12}
@@ -118,7 +118,7 @@
 
 
 class _Streams:
-    """Answers under way in another thread, some at each engine."""
+    """Streams in progress in another thread, some at each engine."""
 
     def __init__(self, fleet, name, at_once=_AT_ONCE):
         self._fleet = fleet
@@ -128,7 +128,7 @@
         self._thread.start()
 
     def wait_begun(self, engine):
-        """Waits until the engine runs one of them."""
+        """Waits until the engine has started one of them."""
 
         def begun():
             runs = scene.read_runs(engine.address)
@@ -137,7 +137,7 @@
         processes.wait_for(begun)
 
     def read(self):
-        """Returns the answers once all have ended."""
+        """Waits until all streams have ended and returns the answers."""
         self._thread.join(processes.LIMIT_S)
         return self._answers
 
@@ -159,9 +159,9 @@
     ids=["cut", "silent", "silence_open"],
 )
 def test_link_breaks_in_the_middle_of_streams(slow_fleet, faults):
-    # Answers under way at one engine stop in the middle. The network between
-    # resets the connections, drops everything, or has lost track of the open
-    # connections while new ones work: nothing more comes on those, ever.
+    # Streams from one engine are interrupted. The network resets the
+    # connections, drops all packets, or has lost the state of the open
+    # connections: new ones work, but no more data arrives on the old ones.
     streams = _Streams(slow_fleet, "link")
     streams.wait_begun(slow_fleet.engines[1])
     scene.fault(slow_fleet.link.ready["admin"], **faults)
@@ -169,17 +169,17 @@
 
 
 def test_pooled_connection_gone_silent(slow_fleet):
-    # The first caller after a quiet second would wait for ever: the kept
-    # connection to the engine looks open, but something between has
-    # forgotten it. A new connection works.
+    # Guards against requests that wait forever after an idle second: the pooled
+    # connection to the engine looks open, but a middlebox has dropped its
+    # state. A new connection works.
     scene.assert_whole(_ask_at_once(slow_fleet, "before"), 12)
     scene.fault(slow_fleet.link.ready["admin"], silence_open=True)
     scene.assert_whole(_ask_at_once(slow_fleet, "after"), 12)
 
 
 def test_killed_engine_with_many_answers_under_way(slow_fleet):
-    # The host of an engine dies with many answers under way; all of them go
-    # on at the other engine.
+    # An engine's host crashes during many streams; the other engine has to
+    # continue all of them.
     streams = _Streams(slow_fleet, "killed", at_once=16)
     streams.wait_begun(slow_fleet.engines[0])
     slow_fleet.engines[0].send(signal.SIGKILL)
@@ -187,9 +187,9 @@
 
 
 def test_frozen_engine_wakes_up_later(slow_fleet):
-    # An engine is stopped in the middle of its answers, which go on at the
-    # other one, and wakes up with old tokens still to send. They must reach
-    # nobody, and the engine must drop what nobody waits for.
+    # An engine is paused during its streams, which the other one continues, and
+    # resumes with old tokens left to send. These must reach no caller, and the
+    # engine must cancel the attempts that nobody waits for.
     frozen = slow_fleet.engines[0]
     streams = _Streams(slow_fleet, "frozen")
     streams.wait_begun(frozen)
@@ -207,7 +207,7 @@
 
 
 def test_caller_that_leaves_frees_its_engine(slow_fleet):
-    # A portal user closes the page; the engine must not go on for nobody.
+    # A user closes the page; the engine must stop, as nobody reads its tokens.
     connection = http.client.HTTPConnection(slow_fleet.callers, timeout=10)
     body = {"model": "model", "prompt": "gone", "max_tokens": 400}
     headers = {"Content-Type": "application/json", "X-Request-Id": "gone"}
@@ -218,7 +218,8 @@
     addresses = [engine.address for engine in slow_fleet.engines]
 
     def read_generating():
-        # Where one engine reads the prompt for another, its part is done.
+        # A prefill for another engine counts as a run that ended with success,
+        # so it is left out.
         runs = scene.read_runs(*addresses)
         return [run for run in runs if not run["attempt"].endswith("p")]
 
--- a/packages/bulrushgrade_daemon/tests/test_failures_daemon.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_daemon.py
@@ -1,4 +1,4 @@
-"""Daemons killed and frozen, and the platform away, with real processes."""
+"""Tests of killed and paused daemons and platform outages, with processes."""
 
 import signal
 import threading
@@ -8,7 +8,7 @@
 import scene
 
 _TOKENS = 40
-# Times as long for each token.
+# Factor on the time per token.
 _SLOW = 20
 _FREEZE_S = 1.5
 
@@ -23,7 +23,7 @@
 
 
 def _stream_meanwhile(callers, name):
-    """Starts four streams; returns their answers to be and the thread."""
+    """Starts four streams; returns the list of their answers and a thread."""
     answers = []
     ids = [f"{name}-{number}" for number in range(4)]
 
@@ -41,10 +41,10 @@
 
 
 def test_killed_daemon_gives_no_answer_for_a_whole_one(made):
-    # An entry host dies with answers under way. Their callers must see that
-    # these are cut; the engines stop working on them; and a new daemon in
-    # its place serves from the log alone. The engines are slow, so that none
-    # can be done before the kill however late that comes.
+    # An entry host crashes during streams. The callers must see that their
+    # answers are incomplete, the engines must stop working on them, and a new
+    # daemon in its place must serve from the log alone. The engines are slow,
+    # so that no answer is complete before the kill, however late it happens.
     daemon = made.start_daemon()
     callers = scene.wait_ready(daemon, engines=2)
     for engine in made.engines:
@@ -70,8 +70,8 @@
 
 
 def test_frozen_daemon_goes_on_with_its_answers(made):
-    # A host is paused for some seconds with answers under way and wakes up.
-    # Its callers have waited and get the rest, with no token twice.
+    # A host is paused for some seconds during streams and resumes. Its callers
+    # have waited and must get the rest, with no token repeated.
     daemon = made.start_daemon()
     callers = scene.wait_ready(daemon, engines=2)
     answers, thread = _stream_meanwhile(callers, "frozen")
@@ -85,8 +85,9 @@
 
 
 def test_serving_goes_on_without_the_platform(made):
-    # Log and host list are down, mute or answer rubbish for long. Nobody who
-    # asks an entry host that has served before may notice.
+    # The log and the host list are down, silent or return invalid answers for a
+    # long time. Callers of an entry host that has served before must not be
+    # affected.
     daemon = made.start_daemon()
     callers = scene.wait_ready(daemon, engines=2)
     for fault in ("outage", "silent", "nonsense"):
--- a/packages/bulrushgrade_daemon/tests/test_failures_leaving.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_leaving.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave and planned stops, with real processes under load."""
+"""Tests of leaving endpoints and planned stops, with processes under load."""
 
 import signal
 import time
@@ -10,8 +10,8 @@
 
 # Lag of the host list in these tests; the list is read every 0.1 s.
 _LAG_S = 0.5
-# From the change of the list to the last new work of a leaving endpoint:
-# the lag, a read of the list, and room for a busy machine.
+# Time from the change of the list to the last new work for a leaving endpoint:
+# the lag, a read of the list, and a margin for a busy machine.
 _LEAVING_LIMIT_S = _LAG_S + 1.0
 _TOKENS = 20
 
@@ -33,9 +33,9 @@
 
 
 def test_leaving_endpoint_gets_no_new_work(made):
-    # The platform takes an engine back, and its list tells so late. Work in
-    # flight there is finished; what is sent there for longer than a few
-    # seconds would be cut when the engine goes.
+    # The platform reclaims an engine, and its host list shows that late. Work
+    # in flight there must be finished, but work that is sent there after a few
+    # seconds would be interrupted when the engine stops.
     engines = _start_engines(made, 3)
     _list(made, engines)
     daemon = made.start_daemon()
@@ -60,9 +60,9 @@
 
 
 def test_draining_engine_is_left_alone(made):
-    # An engine drains by itself, as before its maintenance, while the host
-    # list goes on showing it as live. It turns new work away; callers must
-    # not notice, and its own report keeps them from trying it for long.
+    # An engine drains itself, for example before maintenance, while the host
+    # list still shows it as live. It refuses new work. Callers must not notice,
+    # and because of its own report it must soon get no more attempts.
     engines = _start_engines(made, 2)
     _list(made, engines)
     daemon = made.start_daemon()
@@ -84,9 +84,9 @@
 
 
 def test_rolling_restart_of_all_engines(made):
-    # Every engine is replaced in turn, told by a signal, while the host list
-    # still shows it as live. No caller may notice: the engine refuses new
-    # work as not started, and finishes what it has.
+    # The engines are replaced one after the other, each stopped by a signal
+    # while the host list still shows it as live. No caller may notice: the
+    # engine refuses new work as not started and finishes its current work.
     engines = _start_engines(made, 3)
     _list(made, engines)
     daemon = made.start_daemon()
@@ -109,9 +109,9 @@
 
 
 def test_rolling_restart_of_all_daemons(made):
-    # Every entry host is replaced in turn while callers go on through the
-    # balancer, which asks each whether it is ready. Each stops with 0, and
-    # no request is cut.
+    # The entry hosts are replaced one after the other while callers send
+    # requests through the load balancer, which checks each host's readiness.
+    # Each daemon must exit with 0, and no request may be interrupted.
     engines = _start_engines(made, 2)
     _list(made, engines)
     daemons = [made.start_daemon() for _ in range(2)]
@@ -133,8 +133,8 @@
 
 
 def test_stop_serves_what_comes_before_the_balancer_knows(made):
-    # The balancer sends new requests for a moment after a host said that it
-    # is stopping. They are served, and long ones are not cut.
+    # The load balancer sends new requests for a moment after a host reported
+    # that it is stopping. They must be served, and long ones not interrupted.
     engines = _start_engines(made, 1)
     _list(made, engines)
     daemon = made.start_daemon()
--- a/packages/bulrushgrade_daemon/tests/test_failures_refusals.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_refusals.py
@@ -1,4 +1,4 @@
-"""What callers are told of failures, against what endpoints really ran."""
+"""Tests that refusals agree with what the endpoints really ran."""
 
 import concurrent.futures
 import http.client
@@ -9,13 +9,13 @@
 import scene
 
 _TOKENS = 10
-# The shorter deadline of the scene's document.
+# The shorter deadline in the scene's document.
 _URGENT_S = 4.0
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    """Two engines, two plain services behind links, and a daemon."""
+    """Two engines, two plain services behind link proxies, and a daemon."""
     with processes.running() as started:
         engines = [
             started.standin("engine", "--speed", "20", "--queue", "4")
@@ -53,7 +53,7 @@
 
 
 def _check_truth(fleet, answers):
-    """Checks each "not run" against the ledgers; returns what was said."""
+    """Checks each "not run" against the ledgers; returns the values seen."""
     ran = _ran_at_engines(fleet)
     for answer in answers:
         assert answer.whole or answer.ran in ("not_run", "unknown"), answer
@@ -75,9 +75,9 @@
     ids=lambda faults: "-".join(map(str, *faults.items())),
 )
 def test_not_run_is_true_when_all_engines_fail(fleet, faults):
-    # A team sends its request again because it was told that nothing ran. It
-    # must not have: engines here refuse, die or go silent, before or after
-    # they began, so that every retry fails too.
+    # A team repeats its request if it was told that nothing ran, so that has to
+    # be true. The engines refuse, crash or go silent, before or after they
+    # started, so that every retry fails too.
     name = "all-" + "-".join(map(str, *faults.items()))
     for engine in fleet.engines:
         scene.fault(engine.address, **faults)
@@ -90,8 +90,8 @@
 
 
 def test_prompt_that_was_read_has_run(tmp_path):
-    # One engine reads the prompt and another, which should go on from its
-    # KV cache, refuses. The first has begun by then: "not run" is untrue.
+    # One engine runs the prefill, and another, which should decode with its KV
+    # cache, refuses. As the first one has run, "not run" would be false.
     with processes.running() as started:
         made = scene.Scene(started=started, directory=tmp_path)
         roles = ("prefill", "decode")
@@ -108,9 +108,10 @@
 
 
 def test_given_up_requests_are_answered_at_once(fleet):
-    # Far more comes than the engines can do in time. Who can't be served is
-    # told so with when to come back, at once or as soon as it is hopeless,
-    # and not after the deadline; the others get whole answers in time.
+    # Far more requests arrive than the engines can serve in time. Those that
+    # can't be served must be refused with a retry delay, at once or as soon as
+    # they can't meet their deadline, not after it. The others must get complete
+    # answers in time.
     for engine in fleet.engines:
         scene.fault(engine.address, slow_factor=40)
     ids = [f"flood-{number}" for number in range(80)]
@@ -121,18 +122,18 @@
     scene.assert_whole(whole, 60)
     refused = [answer for answer in answers if not answer.whole]
     assert whole and refused
-    # An answer takes more than half of this deadline, so that after half of
-    # it nothing that has not begun can be in time.
+    # An answer takes more than half of this deadline, so a request that has not
+    # started by then can't be in time.
     not_begun = [a for a in refused if a.ran == "not_run"]
     late = [a for a in not_begun if a.took_s >= _URGENT_S / 2]
     assert not late
-    # What was refused on arrival was not held for any time at all.
+    # A request that was refused on arrival must not have waited.
     on_arrival = [a for a in not_begun if a.error["code"] == "overloaded"]
     assert all(a.took_s < 1.0 for a in on_arrival)
 
 
 def _book(fleet, request_id):
-    """Books once; returns (status, what was said of the run)."""
+    """Sends a booking; returns the status and what it says about the run."""
     try:
         answer = processes.call(
             "POST",
@@ -168,9 +169,9 @@
     "fault", ["die_before", "die_after", "silent", "wrong_attempt", "refuse"]
 )
 def test_booking_runs_at_most_once(fleet, fault):
-    # Two crews drive to one field because a booking ran twice. The service
-    # dies before or after it booked, goes silent, gives another's answer or
-    # refuses; only a refusal may be tried at the other endpoint.
+    # Guards against double bookings. The service crashes before or after the
+    # booking, goes silent, gives another request's answer or refuses. Only
+    # after a refusal may the other endpoint be tried.
     for plain in fleet.plains:
         scene.fault(plain.address, **{fault: True}, times=1)
     ids = [f"{fault}-{number}" for number in range(4)]
@@ -184,8 +185,9 @@
 
 @pytest.mark.parametrize("fault", ["cut", "silent"])
 def test_booking_over_a_broken_link(fleet, fault):
-    # The network between host and service resets each connection, or drops
-    # all bytes. What was never written is "not run"; the rest is unknown.
+    # The network between host and service resets each connection or drops all
+    # packets. A request that was never written is "not run"; for all others the
+    # outcome is unknown.
     for link in fleet.links:
         scene.fault(link.ready["admin"], **{fault: True})
     request_id = f"link-{fault}"
@@ -197,8 +199,8 @@
 
 
 def test_killed_service_is_not_run_and_booked_elsewhere(fleet):
-    # A service's host is gone and the host list still shows it. Nothing of a
-    # booking reaches it, so the booking may go to another endpoint.
+    # A service's host has crashed, but the host list still shows it. No byte of
+    # a booking reaches it, so another endpoint may run the booking.
     plain = fleet.started.standin("plain")
     gone = plain.address
     live = fleet.plains[0].address
--- a/packages/bulrushgrade_daemon/tests/test_wholepath.py
+++ b/packages/bulrushgrade_daemon/tests/test_wholepath.py
@@ -1,7 +1,7 @@
-"""The whole path with separate processes on loopback.
+"""End-to-end test with separate processes on loopback.
 
-A caller, one daemon, and stand-ins for the log service, the host list, an
-engine and a plain service, each a process of its own.
+It runs one daemon and stand-ins for the log service, the host list, an engine
+and a plain service, each in its own process.
 """
 
 import concurrent.futures
--- a/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
+++ b/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
@@ -12,7 +12,7 @@
 
 
 class Reactor(task.Clock):
-    """A clock that keeps the readers it is given."""
+    """A fake reactor: a clock that records the added readers."""
 
     def __init__(self):
         super().__init__()
@@ -50,9 +50,9 @@
 
 
 def test_send_that_consumes_the_edge_schedules_a_read(pair):
-    # A peer's messages would wait for good. One arrives while this side is
-    # about to send; the send handles the socket's events, the descriptor is
-    # not readable any more, and a reactor that waits for it never reads.
+    # Guards against messages that are never read. If one arrives just before a
+    # send, the send consumes the edge: the descriptor is not readable any more,
+    # and a reactor that only waits for it never reads the message.
     near, far = pair
     got = []
     reactor, connection = open_connection(near, got.append)
