--- a/packages/bulrushgrade_daemon/tests/test_failures_answers.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_answers.py
@@ -217,13 +217,13 @@
     connection.close()
     addresses = [engine.address for engine in slow_fleet.engines]
 
-    def read_generating():
+    def read_decode_runs():
         # A prefill for another engine counts as a run that ended with success,
         # so it is left out.
         runs = scene.read_runs(*addresses)
         return [run for run in runs if not run["attempt"].endswith("p")]
 
-    processes.wait_for(lambda: all(run["ended"] for run in read_generating()))
-    ends = [run["ended"] for run in read_generating()]
+    processes.wait_for(lambda: all(run["ended"] for run in read_decode_runs()))
+    ends = [run["ended"] for run in read_decode_runs()]
     assert ends
     assert set(ends) <= {"cancelled", "cut"}
--- a/packages/bulrushgrade_daemon/tests/test_failures_refusals.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_refusals.py
@@ -89,7 +89,7 @@
         assert said == {"not_run"}
 
 
-def test_prompt_that_was_read_has_run(tmp_path):
+def test_prefilled_request_has_run(tmp_path):
     # One engine runs the prefill, and another, which should decode with its KV
     # cache, refuses. As the first one has run, "not run" would be false.
     with processes.running() as started:
