--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: claimed on the log, run at most once."""
+"""Runs requests with an idempotency key at most once, by claims on the log."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -20,19 +20,19 @@
 from bulrushgrade_daemon import plainrelay
 from bulrushgrade_daemon import refusal
 
-# Equal on all hosts and releases for as long as a key lives, see
-# `oncelog.shard_of`. Today's sizes need one; with more, a host can leave
-# some unread once the target's size asks for that.
-SHARDS = 4
+# Must be equal on all hosts and in all releases for the lifetime of a key, see
+# `oncelog.shard_of`. Today's load needs one shard; several allow a host to
+# leave some unread at the target size.
+SHARD_COUNT = 4
 TICK_S = 0.25
-# The log is away: tries to reach it again take about this long.
-LOG_AWAY_RETRY_S = 2.0
-# An append whose answer was lost shows within this time on a log that is up;
-# on one that is away the caller is told so instead of being held.
-READ_BACK_S = 1.0
-# How long a stop waits for outcomes to reach the log. Past it, duplicates of
-# those keys are told that the outcome is unknown, which is true.
-STOP_LIMIT_S = 5.0
+# While the log is unavailable it is tried again about this often.
+LOG_UNAVAILABLE_RETRY_S = 2.0
+# If the log is available, an append whose response was lost can be read back
+# within this time. If not, the caller gets an error instead of waiting longer.
+READ_BACK_TIMEOUT_S = 1.0
+# How long a stop waits until outcomes are stored on the log. After that,
+# duplicates of those keys are correctly answered with an unknown outcome.
+STOP_TIMEOUT_S = 5.0
 REPLAY_HEADER = "X-Idempotent-Replay"
 
 Outcome = plain.PlainAnswer | refusal.Refusal
@@ -40,7 +40,7 @@
 
 
 class _Shard:
-    """One shard with its reader and those who wait for news."""
+    """One shard of the claims, its reader and the tasks waiting for records."""
 
     def __init__(self, *, view: once.OnceShard):
         self.view = view
@@ -48,20 +48,20 @@
         self._waiters: list[defer.Deferred] = []
 
     def wake(self) -> None:
-        """Has every waiter look again."""
+        """Resumes every waiting task, which then checks its claim again."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             waiter.callback(None)
 
     def wait(self) -> defer.Deferred:
-        """Fires with the next news."""
+        """Returns a deferred that fires at the next `wake`."""
         waiter: defer.Deferred = defer.Deferred()
         self._waiters.append(waiter)
         return waiter
 
 
 class Claims:
-    """Runs requests with a key on whichever host claims the key first."""
+    """Runs each request with a key on the host whose claim comes first."""
 
     name = "claims"
     requires = ("timer", "log", "logwriter")
@@ -82,9 +82,9 @@
             timers: The timer service.
             log: Reads the shards.
             writer: Appends claims and outcomes.
-            runner: This run of the daemon, for people.
+            runner: Identifies this run of the daemon to operators.
             rng: Source of jitter.
-            on_broken: Called with the reason of a broken invariant.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._timers = timers
         self._log = log
@@ -96,7 +96,7 @@
         )
         self._shards = [
             self._make_shard(number, runner, rng, on_broken)
-            for number in range(SHARDS)
+            for number in range(SHARD_COUNT)
         ]
         self._tick: Any = None
 
@@ -106,25 +106,25 @@
         return self._counts
 
     async def start(self) -> None:
-        """Begins to follow the shards."""
+        """Starts to follow the shards."""
         for shard in self._shards:
             shard.tail.start()
-        self._tick = self._timers.every(TICK_S, self._repeat_outcomes)
+        self._tick = self._timers.every(TICK_S, self._append_due)
 
     async def stop(self) -> None:
-        """Waits for outcomes to reach the log, then follows no more."""
-        give_up = self._timers.now + STOP_LIMIT_S
-        while self._unsettled() and self._timers.now < give_up:
+        """Waits until outcomes are stored, then stops following the shards."""
+        give_up_at = self._timers.now + STOP_TIMEOUT_S
+        while self._count_pending() and self._timers.now < give_up_at:
             await self._timers.sleep(TICK_S)
         self._tick.cancel()
         for shard in self._shards:
             shard.tail.stop()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages: no service sends any here."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and how far each shard is read."""
+        """Returns the counters and the read position of each shard."""
         return {
             "counts": dict(self._counts),
             "shards": [
@@ -139,11 +139,15 @@
         }
 
     async def run(self, job: plainrelay.PlainJob, attempt: Attempt) -> Outcome:
-        """Returns the answer to the key, run here or elsewhere, or why not.
+        """Runs a request unless its key was already claimed.
 
         Args:
             job: The request, with its key.
-            attempt: Runs it; calls `job.acquire_permit` right before the write.
+            attempt: Runs the request; calls `job.acquire_permit` right before
+                it writes to the endpoint.
+
+        Returns:
+            The answer, from this run or an earlier one, or a refusal.
         """
         key = oncelog.scoped_key(
             service=job.service.service, idempotency_key=job.key
@@ -151,18 +155,18 @@
         digest = oncelog.digest_of(
             method=job.method, path=job.path, body=job.body
         )
-        shard = self._shards[oncelog.shard_of(key, shards=SHARDS)]
+        shard = self._shards[oncelog.shard_of(key, shards=SHARD_COUNT)]
         now = self._timers.now
         known = shard.view.decide(key=key, digest=digest, now=now)
         if not isinstance(known, oncedecision.Free):
-            return self._tell(known)
-        # With the log away nobody can claim; the caller is told at once that
-        # nothing ran, instead of being held until the claim gives up.
+            return self._respond(known)
+        # Without the log nobody can claim. The caller is told at once that
+        # nothing ran, instead of waiting until the claim times out.
         if not self._log.reachable:
-            return self._log_away("the log does not answer")
+            return self._refuse_unclaimable("the log does not answer")
         claimed = shard.view.claim(key=key, digest=digest, now=now)
         if isinstance(claimed, Failure):
-            return self._tell(claimed.failure())
+            return self._respond(claimed.failure())
         return await self._run_claim(shard, job, attempt, claimed.unwrap())
 
     async def _run_claim(
@@ -180,36 +184,40 @@
         )
         if not_stored:
             view.append_failed(claim_id)
-            return self._log_away(stored.failure().reason)
-        give_up = job.work.deadline
+            return self._refuse_unclaimable(stored.failure().reason)
+        give_up_at = job.work.deadline
         if isinstance(stored, Failure):
-            give_up = min(give_up, self._timers.now + READ_BACK_S)
-        decision = await self._settle(shard, job, claim_id, give_up)
+            give_up_at = min(give_up_at, self._timers.now + READ_BACK_TIMEOUT_S)
+        decision = await self._wait_for_decision(
+            shard, job, claim_id, give_up_at
+        )
         if isinstance(decision, oncedecision.Pending | oncedecision.Late):
-            # The claim may yet turn up on the log, but it can't start any
-            # more, so "not run" is and stays true.
+            # The claim may still appear on the log, but can no longer start a
+            # run, so the answer "not run" remains true.
             self._append(view.abandon(claim_id, self._timers.now))
-            return self._log_away("the claim could not be read back in time")
+            return self._refuse_unclaimable(
+                "the claim could not be read back in time"
+            )
         if not isinstance(decision, oncedecision.Run):
             self._append(view.abandon(claim_id, self._timers.now))
-            return self._tell(decision)
+            return self._respond(decision)
         job.acquire_permit = lambda: view.start(claim_id, self._timers.now)
         job.release_permit = lambda: view.mark_not_started(claim_id)
         job.is_permit_available = lambda: view.may_start(
             claim_id, self._timers.now
         )
         outcome = await attempt(job)
-        self._end(view, claim_id, outcome)
+        self._append_outcome(view, claim_id, outcome)
         return outcome
 
-    async def _settle(
+    async def _wait_for_decision(
         self,
         shard: _Shard,
         job: plainrelay.PlainJob,
         claim_id: str,
-        give_up: float,
+        give_up_at: float,
     ) -> oncedecision.Decision:
-        """Waits until the log has decided on a claim, or it is too late."""
+        """Waits until the log has decided on a claim or time is up."""
         key = oncelog.scoped_key(
             service=job.service.service, idempotency_key=job.key
         )
@@ -223,11 +231,11 @@
             )
             if not isinstance(decision, oncedecision.Pending):
                 return decision
-            if now >= give_up or job.caller_disconnected:
+            if now >= give_up_at or job.caller_disconnected:
                 return decision
             await shard.wait()
 
-    def _end(
+    def _append_outcome(
         self, view: once.OnceShard, claim_id: str, outcome: Outcome
     ) -> None:
         now = self._timers.now
@@ -245,7 +253,7 @@
             ended = view.finish(claim_id, answer=None, known=False, now=now)
         self._append(ended)
 
-    def _tell(self, decision: oncedecision.Decision) -> Outcome:
+    def _respond(self, decision: oncedecision.Decision) -> Outcome:
         if isinstance(decision, oncedecision.Duplicate):
             self._counts["duplicate"] += 1
             return _replay(decision)
@@ -272,15 +280,15 @@
                 status=422,
                 code="key_conflict",
             )
-        return self._log_away("this host has not read all claims yet")
+        return self._refuse_unclaimable("this host has not read all claims yet")
 
-    def _log_away(self, reason: str) -> refusal.Refusal:
+    def _refuse_unclaimable(self, reason: str) -> refusal.Refusal:
         self._counts["log_away"] += 1
         return refusal.Refusal(
             status=503,
             code="log_away",
             message=f"the request can't be claimed now: {reason}",
-            retry_after_s=LOG_AWAY_RETRY_S,
+            retry_after_s=LOG_UNAVAILABLE_RETRY_S,
         )
 
     def _make_shard(
@@ -298,7 +306,7 @@
         )
         shard = _Shard(view=view)
 
-        def take(page: record.Page) -> None:
+        def handle_page(page: record.Page) -> None:
             view.apply_page(page, self._timers.now)
             shard.wake()
 
@@ -306,13 +314,13 @@
             log=self._log,
             timers=self._timers,
             stream=view.stream,
-            on_page=take,
+            on_page=handle_page,
             on_broken=on_broken,
             rng=rng,
         )
         return shard
 
-    def _repeat_outcomes(self) -> None:
+    def _append_due(self) -> None:
         for shard in self._shards:
             for append in shard.view.due(self._timers.now):
                 self._append(append)
@@ -322,7 +330,7 @@
         if append is not None:
             self._writer.append(append)
 
-    def _unsettled(self) -> int:
+    def _count_pending(self) -> int:
         return sum(shard.view.pending_claims for shard in self._shards)
 
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
@@ -1,7 +1,8 @@
-"""The life of one gateway: start, readiness, reload, stop.
+"""The life cycle of one gateway: start, readiness, reload, stop.
 
-A gateway forwards callers' requests to endpoints by a configuration that it
-follows on the platform's store. It keeps nothing beyond its process.
+A gateway forwards callers' requests to endpoints according to a configuration
+that it reads from the platform's store. It stores nothing itself: all of its
+state is lost when its process ends.
 """
 
 from collections.abc import Callable
@@ -18,18 +19,18 @@
 from bulrushgrade_daemon import pages
 
 STOP_LISTEN_S = 3.0
-"""How long a stopping host goes on taking connections: the balancer asks
-once a second and needs two answers to take it out."""
+"""How long a stopping host keeps accepting connections. The load balancer
+checks readiness once a second and removes a host after two failed checks."""
 
 STOP_RESERVE_S = 0.8
-"""Of the time to stop, what is kept for the end of the process itself."""
+"""Part of the stop time limit that is reserved for ending the process."""
 
 STOP_CHECK_S = 0.1
-"""Between two looks at whether a stopping host is idle."""
+"""Time between two checks whether a stopping host is idle."""
 
 
 class Gateway:
-    """One gateway and what it believes at present."""
+    """One gateway: its services, pages and life cycle."""
 
     def __init__(
         self,
@@ -40,18 +41,19 @@
         on_broken: Callable[[str], None],
         rng: random.Random | None = None,
     ):
-        """Makes a gateway that has not been started.
+        """Creates a gateway that has not been started.
 
         Args:
             settings: Its settings.
-            adapter: Ties it to the platform.
+            adapter: The platform-specific functions.
             reactor: The reactor that it runs in.
             on_broken: Called with the reason when an invariant is broken.
-            rng: Source of random choices; seeded by the system by default.
+            rng: Random number generator; seeded by the operating system by
+                default.
         """
         self._settings = settings
         self._stopping = False
-        self._stop_began = 0.0
+        self._stop_started_at = 0.0
         self._log = decisionlog.DecisionLog(host=settings.host.name)
         self._kernel = kernel_module.Kernel(
             call_soon=lambda work: reactor.callLater(0, work),
@@ -65,7 +67,7 @@
                 log=self._log,
                 rng=rng or random.Random(secrets.randbits(64)),
                 settings=lambda: self._settings,
-                stopping=lambda: self._stopping,
+                is_stopping=lambda: self._stopping,
                 ends_in_s=self._ends_in_s,
             )
         )
@@ -78,12 +80,12 @@
 
     @property
     def log(self) -> decisionlog.DecisionLog:
-        """Takes the lines of decisions."""
+        """Receives the gateway's structured log lines."""
         return self._log
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the load balancer may send callers to this host."""
         return (
             self._services.view.table is not None
             and self._services.follow_endpoints.known
@@ -102,12 +104,12 @@
         )
 
     async def stop(self) -> None:
-        """Stops without cutting a request, within the time to stop."""
+        """Finishes open requests and stops within the stop time limit."""
         self._stopping = True
         timers, frontend = self._services.timers, self._services.frontend
         requests = self._services.forwarder
         frontend.begin_drain()
-        began = self._stop_began = timers.now
+        began = self._stop_started_at = timers.now
         limit = began + self._settings.bounds.stop_s - STOP_RESERVE_S
         self._log.always("stopping", open=requests.open_requests)
         while timers.now < limit:
@@ -117,31 +119,32 @@
             frontend.close_idle()
             if frontend.connections == 0:
                 break
-        left = requests.open_requests
+        unfinished = requests.open_requests
         await self._kernel.stop()
         self._log.always(
             "stopped",
-            open=left,
+            open=unfinished,
             took_s=round(timers.now - began, 2),
         )
 
     def _ends_in_s(self) -> float | None:
-        """Returns the seconds that are left for requests that come now.
+        """Returns the seconds left for requests that arrive now.
 
-        Load: all hosts of a zone are stopped one soon after the other, and the
-        balancer, which has nobody else there, goes on sending to them. Harm:
-        what came late was passed on and cut when the process ended. Until the
-        balancer can know, requests are taken whatever they may last.
+        None means no limit. If all hosts of a zone are stopped in quick
+        succession, the load balancer has no other host there and keeps
+        sending requests to them. Without this limit, late requests would be
+        forwarded and cut off when the process ends. Until the load balancer
+        can have noticed the stop, requests of any duration are accepted.
         """
         if not self._stopping:
             return None
-        stopping_s = self._services.timers.now - self._stop_began
+        stopping_s = self._services.timers.now - self._stop_started_at
         if stopping_s < STOP_LISTEN_S:
             return None
         return self._settings.bounds.stop_s - STOP_RESERVE_S - stopping_s
 
     def reload(self, settings: gatewaysettings.GatewaySettings) -> None:
-        """Takes changed settings; addresses need a restart."""
+        """Applies changed settings; changed addresses need a restart."""
         changed = [
             name
             for name in ("host", "listen", "store", "bounds")
@@ -152,17 +155,17 @@
 
     def _add_pages(self, reactor: Any) -> None:
         services, listen = self._services, self._settings.listen
-        gatewaypages.add_counts(services, self._log)
+        gatewaypages.register_metrics(services, self._log)
         for name, address, find in (
             (
                 "ready",
                 listen.ready,
-                gatewaypages.show_ready(lambda: self.ready),
+                gatewaypages.make_ready_finder(lambda: self.ready),
             ),
             (
                 "admin",
                 listen.admin,
-                gatewaypages.show_admin(services.metrics, self._kernel),
+                gatewaypages.make_admin_finder(services.metrics, self._kernel),
             ),
         ):
             self._kernel.register(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peers.py
@@ -1,14 +1,15 @@
-"""The service that talks to other daemons.
-
-Each daemon binds one ROUTER and connects one DEALER to each of its peers. A
-publisher with subscribers was weighed: it saves the copies for peers that
-share the same endpoints, but it drops without saying so, filters by prefix
-and not by the endpoints shared, and would need a second pair of sockets for
-snapshots. A DEALER a peer gives a bounded queue a peer, and counts drops.
-
-What is sent here is advisory. Nothing waits for a peer, and a message that
-can't be sent at once is dropped: each message carries whole state, so the
-next one mends the loss.
+"""Exchanges loads, demands and snapshots with other daemons.
+
+Each daemon binds one ROUTER socket and connects one DEALER socket to each of
+its peers. PUB and SUB sockets were considered: they save the copies for peers
+that share the same endpoints, but they drop messages without notice, filter
+by prefix and not by shared endpoint, and would need a second pair of sockets
+for snapshots. One DEALER per peer gives each peer a bounded queue and allows
+dropped messages to be counted.
+
+All messages are advisory. Nothing waits for a peer, and a message that can't
+be queued at once is dropped: each message holds the complete state, so the
+next one makes up for a lost one.
 """
 
 from collections.abc import Callable
@@ -29,24 +30,24 @@
 from bulrushgrade_daemon import peersocket
 from bulrushgrade_daemon import zmqreactor
 
-# How often loads are told. Placement counts a peer out that has been silent
-# for 3 s, so that several rounds may be lost or left out before that.
+# How often loads are sent. Placement ignores the loads of a peer that has sent
+# none for 3 s, so several rounds may be lost or skipped before that.
 LOADS_PERIOD_S = 0.5
-# How often withdrawn endpoints are told again although nothing changed, so
-# that a peer that missed the change learns it within seconds.
-REPEAT_S = 5.0
-# How often and how many peers a starting daemon asks for a snapshot until one
-# answers. One answer would do; three make it likely that one is up to date.
-ASK_PERIOD_S = 0.5
-ASKED_PEERS = 3
-# The plan of roles adds demand up over ten seconds and more.
+# How often withdrawn endpoints are sent again without a change, so that a peer
+# that missed a change receives it within seconds.
+WITHDRAWN_REPEAT_S = 5.0
+# How often, and how many peers, a starting daemon asks for a snapshot until one
+# answers. One answer suffices; with three one is likely to be up to date.
+SNAPSHOT_REQUEST_PERIOD_S = 0.5
+SNAPSHOT_REQUEST_PEERS = 3
+# The role plan sums demand over ten seconds and more.
 DEMANDS_PERIOD_S = 2.0
-# Loads that may be sent after a quiet time, as a multiple of a second's part.
+# How many seconds' worth of unused allowance for loads may accumulate.
 BURST_S = 2.0
 
 
 class Peers:
-    """Sends this daemon's state to its peers and hands on theirs."""
+    """Sends this daemon's state to its peers and passes on theirs."""
 
     name = "peers"
     requires = ("metrics", "timer")
@@ -68,17 +69,17 @@
         """Makes the service; `start` opens its sockets.
 
         Args:
-            kernel: Where receivers and metrics are found.
+            kernel: Provides the metrics service and reports failures.
             reactor: Twisted's reactor.
             timers: The timer service.
             listen: Where to bind; with port 0 a free port is taken.
-            queue_messages: Messages held for one peer.
-            loads_bytes_per_s: What loads may use in all. Beyond it, loads
-                are sent less often, not cut short.
-            read_loads: Returns what this daemon has in flight.
-            read_demands: Returns what callers have asked this daemon for.
-            listeners: Called with what peers say.
-            rng: Draws the incarnation and which peers are asked.
+            queue_messages: Messages queued for one peer.
+            loads_bytes_per_s: Rate limit for loads to all peers together.
+                Beyond it, loads are sent less often, not truncated.
+            read_loads: Returns this daemon's work in flight.
+            read_demands: Returns the demand of this daemon's callers.
+            listeners: Called with the messages of peers.
+            rng: Chooses the incarnation and the peers to ask for snapshots.
         """
         self._kernel = kernel
         self._reactor = reactor
@@ -88,7 +89,7 @@
         self._loads_bytes_per_s = loads_bytes_per_s
         self._read_loads = read_loads
         self._read_demands = read_demands
-        self._told_demands: tuple[work.Demand, ...] = ()
+        self._sent_demands: tuple[work.Demand, ...] = ()
         self._listeners = listeners
         self._view = peerview.PeerView()
         self._rng = rng
@@ -99,12 +100,12 @@
         self._router: zmqreactor.Connection | None = None
         self._dealers: dict[str, zmqreactor.Connection] = {}
         self._shared: dict[str, frozenset[str]] = {}
-        self._told_idle: set[str] = set()
+        self._sent_idle: set[str] = set()
         self._withdrawn: frozenset[str] = frozenset()
-        self._asking = False
+        self._requesting_snapshot = False
         self._subscriptions: list[timer.Subscription] = []
         self._loads_allowance = loads_bytes_per_s * BURST_S
-        self._loads_at = timers.now
+        self._allowance_updated_at = timers.now
 
     @property
     def address(self) -> str:
@@ -134,8 +135,10 @@
         self._router = self._open(socket)
         self._subscriptions = [
             self._timers.every(LOADS_PERIOD_S, self._share_loads),
-            self._timers.every(REPEAT_S, self._send_withdrawn),
-            self._timers.every(ASK_PERIOD_S, self._ask),
+            self._timers.every(WITHDRAWN_REPEAT_S, self._send_withdrawn),
+            self._timers.every(
+                SNAPSHOT_REQUEST_PERIOD_S, self._request_snapshot
+            ),
             self._timers.every(DEMANDS_PERIOD_S, self._share_demands),
         ]
 
@@ -154,25 +157,25 @@
             self._context.term()
 
     def receive(self, message: Any) -> None:
-        """Takes a message of another service of this daemon."""
+        """Handles a message of another service of this daemon."""
         if self._router is None:
-            # Stopped, or not started yet: there is nobody to tell.
+            # Not started yet or stopped: no message can be sent.
             return
         handlers: dict[type, Callable[[Any], None]] = {
             peermessages.SetPeers: self._set_peers,
             peermessages.ShareWithdrawn: self._share_withdrawn,
-            peermessages.AskSnapshot: self._start_asking,
-            peermessages.AnswerSnapshot: self._answer,
+            peermessages.AskSnapshot: self._start_snapshot_requests,
+            peermessages.AnswerSnapshot: self._answer_snapshot,
         }
         handler = handlers.get(type(message))
         if handler is None:
             raise errors.BrokenInvariantError(
-                f"peers got a {type(message).__name__}"
+                f"peers received an unexpected {type(message).__name__}"
             )
         handler(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the service's state for a person, ready for JSON."""
+        """Returns the service's state for debugging, ready for JSON."""
         return {
             "address": self._address,
             "incarnation": self._incarnation,
@@ -183,7 +186,7 @@
             },
             "withdrawn": sorted(self._withdrawn),
             "heard": self._view.dump(),
-            "asking_for_snapshot": self._asking,
+            "asking_for_snapshot": self._requesting_snapshot,
         }
 
     def _make_counters(self, metrics: metrics_module.Metrics) -> None:
@@ -224,7 +227,7 @@
         return zmqreactor.Connection(
             socket=socket,
             reactor=self._reactor,
-            receive=self._take,
+            receive=self._handle_frames,
             on_broken=self._kernel.fail,
         )
 
@@ -241,49 +244,49 @@
             socket.connect(f"tcp://{address}")
             self._dealers[address] = self._open(socket)
         self._shared = wanted
-        self._told_idle &= wanted.keys()
+        self._sent_idle &= wanted.keys()
         self._view.keep(wanted)
 
     def _share_loads(self) -> None:
         now = self._timers.now
         limit = self._loads_bytes_per_s * BURST_S
-        earned = (now - self._loads_at) * self._loads_bytes_per_s
+        earned = (now - self._allowance_updated_at) * self._loads_bytes_per_s
         self._loads_allowance = min(limit, self._loads_allowance + earned)
-        self._loads_at = now
-        # The allowance may go below zero by one round, and the next rounds
-        # are left out until it is paid back: with many peers loads grow
-        # older, while the bytes a second stay within what the host allows.
+        self._allowance_updated_at = now
+        # The allowance may go below zero by one round; the next rounds are
+        # then skipped until it is positive again. With many peers loads are
+        # older, but the byte rate stays within the limit.
         if self._loads_allowance < 0:
             self._paced.add()
             return
         header = self._make_header()
         loads = self._read_loads()
-        # At small sizes all peers share the same endpoints; the message is
-        # then serialized once and not once a peer.
+        # With few hosts all peers share the same endpoints, so the message is
+        # serialized once and not once per peer.
         ready: dict[frozenset[str], tuple[bool, bytes]] = {}
         for address, shared in self._shared.items():
             if shared not in ready:
-                told = [load for load in loads if load.endpoint in shared]
-                message = peerview.make_loads(header, told)
+                relevant = [load for load in loads if load.endpoint in shared]
+                message = peerview.make_loads(header, relevant)
                 raw = peerview.serialize_message(message)
                 ready[shared] = (not message.endpoints, raw)
             idle, raw = ready[shared]
-            # Saying "nothing" again and again would make up most of what a
-            # large mesh sends at night. Should the first one be lost, the
-            # peer forgets the old loads by their age.
-            if idle and address in self._told_idle:
+            # Empty loads are sent once only: repeated, they would be most of
+            # the traffic of a large mesh at night. If that message is lost,
+            # the peer drops the old loads because of their age.
+            if idle and address in self._sent_idle:
                 continue
-            (self._told_idle.add if idle else self._told_idle.discard)(address)
+            (self._sent_idle.add if idle else self._sent_idle.discard)(address)
             self._send(address, raw)
             self._loads_allowance -= len(raw)
 
     def _share_demands(self) -> None:
         demands = self._read_demands()
-        # Counters since the start: while nobody asks they stay as they were
-        # last told, and a lost message is mended by the next change.
-        if demands == self._told_demands:
+        # Demands are counters since the start, so without requests they equal
+        # the last ones sent, and the next change makes up for a lost message.
+        if demands == self._sent_demands:
             return
-        self._told_demands = demands
+        self._sent_demands = demands
         raw = peerview.serialize_message(
             peerview.Demands(header=self._make_header(), demands=demands)
         )
@@ -305,22 +308,24 @@
         for address in self._dealers:
             self._send(address, raw)
 
-    def _start_asking(self, message: peermessages.AskSnapshot) -> None:
-        self._asking = True
-        self._ask()
+    def _start_snapshot_requests(
+        self, message: peermessages.AskSnapshot
+    ) -> None:
+        self._requesting_snapshot = True
+        self._request_snapshot()
 
-    def _ask(self) -> None:
-        if not self._asking or not self._dealers:
+    def _request_snapshot(self) -> None:
+        if not self._requesting_snapshot or not self._dealers:
             return
         raw = peerview.serialize_message(
             peerview.SnapshotRequest(header=self._make_header())
         )
         addresses = sorted(self._dealers)
-        count = min(ASKED_PEERS, len(addresses))
+        count = min(SNAPSHOT_REQUEST_PEERS, len(addresses))
         for address in self._rng.sample(addresses, count):
             self._send(address, raw)
 
-    def _answer(self, message: peermessages.AnswerSnapshot) -> None:
+    def _answer_snapshot(self, message: peermessages.AnswerSnapshot) -> None:
         raw = peerview.serialize_message(
             peerview.SnapshotReply(
                 header=self._make_header(),
@@ -340,7 +345,7 @@
         else:
             self._dropped.add()
 
-    def _take(self, frames: list[bytes]) -> None:
+    def _handle_frames(self, frames: list[bytes]) -> None:
         parsed = peerview.parse_message(frames[-1])
         if isinstance(parsed, Failure):
             self._refused.add()
@@ -349,16 +354,16 @@
         if isinstance(message, peerview.SnapshotRequest):
             self._listeners.on_snapshot_request(frames[0])
         elif isinstance(message, peerview.SnapshotReply):
-            self._asking = False
+            self._requesting_snapshot = False
             self._listeners.on_snapshot(message.snapshot)
-        elif not self._take_state(message):
+        elif not self._apply_state(message):
             self._refused.add()
             return
         self._received.add()
 
-    def _take_state(self, message: peerview.State) -> bool:
-        # Loads are only believed from daemons that the host list names. A
-        # daemon that has just started is not on it yet, and may only ask.
+    def _apply_state(self, message: peerview.State) -> bool:
+        # State is accepted only from daemons on the host list. A daemon that
+        # has just started is not on it yet, and may only request snapshots.
         sender = message.header.sender
         if sender not in self._shared:
             return False
@@ -380,8 +385,8 @@
 
 
 def _is_address(text: str) -> bool:
-    # A bad line in the host list must not stop every daemon at once: ZeroMQ
-    # raises for it, or looks a name up and holds up the reactor meanwhile.
+    # An invalid address in the host list must not stop every daemon at once:
+    # ZeroMQ raises an error for it, or blocks the reactor to look up a name.
     try:
         keys.parse_address(text)
     except ValueError:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/stagecontrol.py
@@ -1,7 +1,8 @@
-"""Changes engines' roles when the queues call for it.
+"""Orders engines to change between prefill and decode as the load requires.
 
-One host at a time does so: the first by name of those that hear each other
-watches the queues, and the topic of orders decides whose turn it is.
+One host at a time does so. The leader, the first by name of the hosts that are
+in contact with each other, watches the load. If several hosts take themselves
+for the leader, the topic of orders decides which of them may send orders.
 """
 
 from collections.abc import Awaitable
@@ -20,21 +21,21 @@
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import task
 
-TAKEN = "taken"
+ACCEPTED = "taken"
 UNANSWERED = "no answer"
 
 CHECK_PERIOD_S = 0.25
-"""Between two checks of the queues."""
+"""Time between two checks of the load."""
 
 
 @attrs.frozen(kw_only=True)
 class EngineReport:
-    """What an engine says of itself.
+    """An engine's report of itself.
 
     Attributes:
         stage: Its role.
-        busy: Whether it carries out an order.
-        orders: How many orders it has taken since its start.
+        busy: Whether it is carrying out an order.
+        orders: Number of orders that it has accepted since its start.
     """
 
     stage: directory_module.Stage
@@ -44,31 +45,32 @@
 
 @attrs.frozen(kw_only=True)
 class StageOrder:
-    """An order as it is sent.
+    """An order to an engine to change its role.
 
     Attributes:
-        engine: Who is meant.
-        stage: The role to take.
-        holder: Who orders.
-        number: The order's number, which only grows.
-        orders_before: Orders that the engine must have taken so far.
+        engine: The engine that receives the order.
+        stage: The new role.
+        holder: The incarnation of the host that sends the order.
+        number: The order's number; numbers only increase.
+        expected_orders: Number of orders that the engine must have accepted
+            before this one.
     """
 
     engine: directory_module.Registration
     stage: directory_module.Stage
     holder: str
     number: int
-    orders_before: int
+    expected_orders: int
 
 
 @attrs.frozen(kw_only=True)
 class EngineControl:
-    """Asks engines and orders them about.
+    """Functions that query engines and send them orders.
 
     Attributes:
-        report: Returns what an engine says of itself.
-        order: Sends an order if a check, made in the turn of the write, says
-            yes; returns whether the engine takes it.
+        report: Returns an engine's report of itself.
+        order: Sends an order if a check, called immediately before the write,
+            allows it. Returns whether the engine accepts the order.
     """
 
     report: Callable[
@@ -82,7 +84,7 @@
 
 
 class StageControl:
-    """Watches the queues and orders changes."""
+    """Watches the load and orders role changes."""
 
     name = "stagecontrol"
     requires = ("timer",)
@@ -100,19 +102,19 @@
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
+            timers: The timer service; its clock runs during pauses.
             holder: This host's incarnation.
-            actions: Carries out what only one host at a time may do.
-            control: Asks engines and orders them about.
-            leads: Returns whether this host is the one to decide.
-            views: Returns what is known of the engines by service.
-            announce: Tells all hosts of a change and the seconds that it
-                takes.
-            log: Gets a line for each order.
-            on_broken: Called with the reason where an invariant is broken.
+            actions: Performs actions that only one host at a time may do.
+            control: Queries engines and sends them orders.
+            leads: Returns whether this host is the leader.
+            views: Returns the state of the engines by service.
+            announce: Notifies all hosts of a change and of its expected
+                duration in seconds.
+            log: Receives a line for each order.
+            on_broken: Called with the reason when an invariant is broken.
         """
         self._timers = timers
         self._holder = holder
@@ -125,28 +127,28 @@
         self._on_broken = on_broken
         self._plans: dict[str, stageplan.StagePlan] = {}
         self._ordering = False
-        self._orders = 0
+        self._orders_sent = 0
         self._tick: Any = None
 
     @property
     def counts(self) -> dict[str, int]:
-        """Orders sent since the start."""
-        return {"orders": self._orders}
+        """Number of orders sent since the start."""
+        return {"orders": self._orders_sent}
 
     async def start(self) -> None:
-        """Begins to watch."""
+        """Starts the periodic checks."""
         self._tick = self._timers.every(CHECK_PERIOD_S, self._check)
 
     async def stop(self) -> None:
-        """Watches no more."""
+        """Stops the periodic checks."""
         if self._tick is not None:
             self._tick.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores all messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is watched."""
+        """Returns the smoothed load by service and the end of the topic."""
         plans = {
             name: {"wait_s": plan.wait_s, "crowding": plan.saturation}
             for name, plan in self._plans.items()
@@ -155,8 +157,9 @@
 
     def _check(self) -> None:
         if not self._leads():
-            # To look at every engine costs more than all else that an idle
-            # host does. Who comes to lead learns the means anew.
+            # Building the views of all engines costs more than everything
+            # else that an idle host does. A new leader starts with empty
+            # means.
             self._plans.clear()
             return
         for view in self._views():
@@ -168,12 +171,12 @@
                 continue
             self._ordering = True
             task.spawn(
-                self._change(view, plan, change),
+                self._execute_change(view, plan, change),
                 name=self.name,
                 on_broken=self._on_broken,
             )
 
-    async def _change(
+    async def _execute_change(
         self,
         view: stageplan.ServiceView,
         plan: stageplan.StagePlan,
@@ -184,12 +187,12 @@
         finally:
             self._ordering = False
         now = self._timers.now
-        if outcome in (TAKEN, UNANSWERED):
-            # An order without an answer may still be carried out.
+        if outcome in (ACCEPTED, UNANSWERED):
+            # The engine may carry out an order that it did not answer.
             plan.record_change(view, now)
         else:
             plan.record_refusal(change.engine.id, view, now)
-        if outcome == TAKEN:
+        if outcome == ACCEPTED:
             self._announce(change, view.change_s)
         self._log.note(
             "stage_order",
@@ -202,7 +205,7 @@
         )
 
     async def _order(self, change: stageplan.StageChange) -> str:
-        """Returns what came of it, for the log."""
+        """Orders a change; returns the outcome for the log."""
         report: EngineReport | None = None
 
         async def make() -> orderturn.OrderRecord | fencedactions.Withheld:
@@ -228,9 +231,9 @@
                 stage=change.stage,
                 holder=permit.holder,
                 number=permit.number,
-                orders_before=report.orders,
+                expected_orders=report.orders,
             )
-            self._orders += 1
+            self._orders_sent += 1
             return await self._control.order(order, permit.check)
 
         sent = await self._actions.perform(make, send)
@@ -240,4 +243,4 @@
             if is_written and failed.written:
                 return UNANSWERED
             return failed.reason
-        return TAKEN if sent.unwrap() else "refused"
+        return ACCEPTED if sent.unwrap() else "refused"
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -1,13 +1,13 @@
-"""Counts what workspaces use and has one host report it.
+"""Counts requests by workspace and reports the counts from one host.
 
-Each daemon sends its counts of a window, whole and absolute, to the one that
-reports until that has all of them; a datagram that gets lost is sent again,
-and one that comes twice changes nothing. Who takes over as the one that
-reports gets them anew from all that still have them.
+Each daemon sends its complete, absolute counts of a window to the reporter
+until the reporter acknowledges them. A lost datagram is sent again, and a
+duplicate changes nothing. A new reporter receives the counts again from all
+daemons that still have them.
 
-Who reports is recorded in the topic of orders, and announced to all with the
-record's number. Daemons may disagree for a while on which of them could
-report; the largest number settles it, so that all counts go to one place.
+The reporter is recorded in the topic of orders, and announced to all daemons
+with the record's number. Daemons may disagree for a while on which of them are
+able to report; the largest number wins, so that all counts go to one daemon.
 """
 
 from collections.abc import Callable
@@ -33,29 +33,29 @@
 from bulrushgrade_daemon import task
 
 CHECK_PERIOD_S = 0.5
-"""Between two comparisons of clocks, and two looks at what is due."""
+"""Time between two clock samples, and between two checks for due reports."""
 
-SEND_CHECKS = 2
-"""Checks between two times that counts are sent. What a daemon that is killed
-counted since the last time is lost."""
+CHECKS_PER_SEND = 2
+"""Number of checks per send of counts. A daemon that is killed loses the counts
+since its last send."""
 
-SILENT_S = 3.5
-"""After which one that reports and does not reply counts as gone: some replies
-get lost on bad links."""
+REPORTER_TIMEOUT_S = 3.5
+"""Time without a reply after which the reporter counts as gone. It allows for a
+few replies that get lost on bad links."""
 
-COLLECT_S = 1.6
-"""Before who has just begun to report adds up: all daemons send their counts
-anew, one that misses the notice a second later."""
+COLLECTION_S = 1.6
+"""Time for which a new reporter collects counts. All daemons send them again; a
+daemon that missed the notice does so a second later."""
 
 
 @attrs.frozen(kw_only=True)
 class _Reporter:
-    """Who reports, as far as a daemon has heard.
+    """The reporter that a daemon knows of.
 
     Attributes:
-        name: Its incarnation.
-        number: Of its last record that is known.
-        heard_at: When it was heard.
+        name: The reporter's incarnation.
+        number: The number of its last known record.
+        heard_at: When it was last heard from.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class UsageReporting:
-    """Counts requests, exchanges counts and reports them."""
+    """Counts requests, exchanges the counts with peers and reports them."""
 
     name = "usagereporting"
     requires = ("timer", "peerlink")
@@ -85,22 +85,21 @@
         on_broken: Callable[[str], None],
         time_of_day: Callable[[], float] = time.time,
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            timers: The timer service, by a clock that runs through pauses.
+            timers: The timer service; its clock runs during pauses.
             own_name: This daemon's incarnation.
-            windows: How time is divided.
-            actions: Carries out what only one host at a time may do.
-            calls: Reports to the operator.
-            fleet: Which daemons are there.
-            may_order: Returns whether this daemon could report.
+            windows: The time windows in which usage is counted.
+            actions: Performs actions that only one host at a time may do.
+            calls: Calls to the operator's API.
+            fleet: Knows which daemons are present.
+            may_order: Returns whether this daemon is able to report.
             send: Sends a message to a peer.
             broadcast: Sends a message to all peers.
-            log: Gets a line for each report.
-            on_broken: Called with the reason where an invariant is broken.
-            time_of_day: Returns the seconds since 1970, by a clock that may
-                be set.
+            log: Receives a line for each report.
+            on_broken: Called with the reason when an invariant is broken.
+            time_of_day: Returns the Unix time; its clock may be set.
         """
         self._timers = timers
         self._own_name = own_name
@@ -116,45 +115,45 @@
         self._time_of_day = time_of_day
         self._time = wallclock.WallClock()
         self._meter = usagewindows.UsageMeter(windows=windows)
-        self._note_clock()
-        self._first = windows.number(self._now)
+        self._sample_clock()
+        self._first_window = windows.number(self._now)
         self._reports = usagewindows.UsageReports(
             holder=own_name, windows=windows, started_at=self._now
         )
-        # Windows that the one that reports has from this daemon.
-        self._taken: set[int] = set()
-        self._taken_by: str | None = None
+        # Windows of this daemon whose counts the reporter acknowledged.
+        self._acknowledged: set[int] = set()
+        self._acknowledged_by: str | None = None
         self._reporter: _Reporter | None = None
-        self._began_at = -math.inf
+        self._reporter_since = -math.inf
         self._checks = 0
-        self._acting = False
+        self._action_running = False
         self._outcomes: dict[str, int] = {}
         self._tick: Any = None
-        actions.listen(self._take_record, self._note_gap)
+        actions.listen(self._apply_record, self._record_gap)
 
     @property
     def counts(self) -> dict[str, int]:
-        """Reports by what came of them."""
+        """Number of reports by outcome."""
         return dict(self._outcomes)
 
     @property
-    def reports_itself(self) -> bool:
-        """Whether this daemon is the one that reports."""
+    def is_reporter(self) -> bool:
+        """Whether this daemon is the reporter."""
         reporter = self._reporter
         return reporter is not None and reporter.name == self._own_name
 
     async def start(self) -> None:
-        """Begins to exchange and report."""
+        """Starts to exchange and report counts."""
         self._tick = self._timers.every(CHECK_PERIOD_S, self._check)
 
     async def stop(self) -> None:
-        """Sends what was counted a last time."""
+        """Sends the counts a last time."""
         if self._tick is not None:
             self._tick.cancel()
         self._send_counts(self._now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is known of windows."""
+        """Returns the current window, the reporter and the outcome counts."""
         return {
             "window": self._windows.number(self._now),
             "reporter": self._find_reporter(),
@@ -162,65 +161,65 @@
             **self.counts,
         }
 
-    def note_begun(
+    def record_run_start(
         self, workspace: workspaces.Workspace | None, at: float
     ) -> None:
-        """Counts a request that an endpoint began to run.
+        """Counts a request that an endpoint started to run.
 
         Args:
-            workspace: Whose it is; None counts for nobody.
-            at: When, by the steady clock.
+            workspace: The request's workspace; None is not counted.
+            at: When the run started, by the clock of the timer service.
         """
         if workspace is not None:
             self._meter.count_request(workspace.name, self._time.time_at(at))
 
     def receive(self, message: Any) -> None:
-        """Takes a peer's counts, its reply to counts, or that it reports."""
+        """Handles a peer's counts, acknowledgement or notice as reporter."""
         match message:
             case gatewaymessages.UsageCounts():
-                self._take_counts(message)
+                self._receive_counts(message)
             case gatewaymessages.UsageTaken():
-                self._note_reporter(message.peer, message.number)
-                if message.peer == self._taken_by:
-                    self._taken.update(message.windows)
+                self._observe_reporter(message.peer, message.number)
+                if message.peer == self._acknowledged_by:
+                    self._acknowledged.update(message.windows)
             case gatewaymessages.UsageReporter():
-                self._note_reporter(message.peer, message.number)
+                self._observe_reporter(message.peer, message.number)
 
     @property
     def _now(self) -> float:
         return self._time.time_at(self._timers.now)
 
-    def _note_clock(self) -> None:
+    def _sample_clock(self) -> None:
         self._time.add_sample(self._time_of_day(), self._timers.now)
 
     def _check(self) -> None:
-        self._note_clock()
+        self._sample_clock()
         self._checks += 1
         now = self._now
         self._meter.forget(now)
         self._reports.forget(now)
-        if self.reports_itself and not self._may_order():
+        if self.is_reporter and not self._may_order():
             self._reporter = None
         if self._find_reporter() != self._own_name:
-            if self._checks % SEND_CHECKS == 0:
+            if self._checks % CHECKS_PER_SEND == 0:
                 self._send_counts(now)
-        elif self._may_order() and not self._acting:
-            self._act(now)
+        elif self._may_order() and not self._action_running:
+            self._start_action(now)
 
-    # Who reports.
+    # Choice of the reporter.
 
     def _find_reporter(self) -> str:
-        """Returns who reports, or who should begin to."""
+        """Returns the reporter, or the daemon that should become it."""
         reporter = self._reporter
         if reporter is None:
             return self._fleet.first_able()
         age_s = self._timers.now - reporter.heard_at
-        if reporter.name == self._own_name or age_s < SILENT_S:
+        if reporter.name == self._own_name or age_s < REPORTER_TIMEOUT_S:
             return reporter.name
         return self._fleet.first_able()
 
-    def _note_reporter(self, name: str, number: int) -> None:
-        """Notes the number of somebody's last record; 0 if it has none."""
+    def _observe_reporter(self, name: str, number: int) -> None:
+        """Takes in a daemon's last record number; 0 if it is no reporter."""
         known = self._reporter
         if number == 0:
             if known is not None and known.name == name:
@@ -237,17 +236,19 @@
         )
         self._broadcast(notice)
 
-    # Counts on their way to the one that reports.
+    # Sending counts to the reporter.
 
     def _send_counts(self, now: float) -> None:
         reporter = self._find_reporter()
         if reporter == self._own_name:
             return
-        if reporter != self._taken_by:
-            self._taken_by = reporter
-            self._taken.clear()
-        self._taken = {
-            w for w in self._taken if w >= self._windows.oldest_retained(now)
+        if reporter != self._acknowledged_by:
+            self._acknowledged_by = reporter
+            self._acknowledged.clear()
+        self._acknowledged = {
+            w
+            for w in self._acknowledged
+            if w >= self._windows.oldest_retained(now)
         }
         sent = [
             gatewaymessages.WindowCounts(
@@ -256,7 +257,7 @@
                 is_whole=self._windows.is_settled(window, now),
             )
             for window in self._open_windows(now)
-            if window not in self._taken
+            if window not in self._acknowledged
         ]
         self._send(
             reporter,
@@ -264,39 +265,39 @@
         )
 
     def _open_windows(self, now: float) -> list[int]:
-        """Returns the windows that the one that reports may still need.
+        """Returns the windows whose counts the reporter may still need.
 
-        Those that ended before this daemon's start are left out: it knows
-        nothing of them, which is not that nothing began.
+        Windows that ended before this daemon's start are left out: it has no
+        counts of them, which must not be reported as zero usage.
         """
         newest = self._windows.number(now)
         oldest = max(
-            self._first, self._windows.number(now - self._windows.late_s)
+            self._first_window, self._windows.number(now - self._windows.late_s)
         )
         return list(range(oldest, newest + 1))
 
-    def _take_counts(self, message: gatewaymessages.UsageCounts) -> None:
-        taken = [
-            one.window
-            for one in message.windows
+    def _receive_counts(self, message: gatewaymessages.UsageCounts) -> None:
+        received = [
+            entry.window
+            for entry in message.windows
             if self._reports.store_counts(
                 message.peer,
-                one.window,
-                one.counts,
-                is_whole=one.is_whole,
+                entry.window,
+                entry.counts,
+                is_whole=entry.is_whole,
             )
         ]
-        number = self._reporter.number if self.reports_itself else 0
+        number = self._reporter.number if self.is_reporter else 0
         self._send(
             message.peer,
             gatewaymessages.UsageTaken(
-                peer=self._own_name, windows=taken, number=number
+                peer=self._own_name, windows=received, number=number
             ),
         )
 
     # Reports.
 
-    def _act(self, now: float) -> None:
+    def _start_action(self, now: float) -> None:
         for window in self._open_windows(now):
             self._reports.store_counts(
                 self._own_name,
@@ -304,29 +305,29 @@
                 self._meter.counts(window),
                 is_whole=self._windows.is_settled(window, now),
             )
-        if not self.reports_itself:
-            work = self._begin()
+        if not self.is_reporter:
+            work = self._become_reporter()
         elif self._next_record() is not None:
             work = self._report()
         else:
             return
-        self._acting = True
+        self._action_running = True
         task.spawn(work, name=self.name, on_broken=self._on_broken)
 
     def _next_record(self) -> usagewindows.UsageRecord | None:
-        """Returns what to report now, from all counts that can be had."""
-        began_s = self._timers.now - self._began_at
-        if began_s < COLLECT_S:
+        """Returns the record to report now; None while counts are collected."""
+        reporter_for_s = self._timers.now - self._reporter_since
+        if reporter_for_s < COLLECTION_S:
             return None
         return self._reports.next_record(self._now, self._fleet.there)
 
-    async def _begin(self) -> None:
-        """Becomes the one that reports."""
+    async def _become_reporter(self) -> None:
+        """Records this daemon as the reporter."""
 
         async def make() -> (
             usagewindows.ReporterRecord | fencedactions.Withheld
         ):
-            # Somebody's record may have come to light just now.
+            # The read before this call may have found another reporter.
             if self._find_reporter() != self._own_name:
                 return fencedactions.Withheld(reason="another host reports")
             return usagewindows.ReporterRecord(holder=self._own_name)
@@ -337,12 +338,12 @@
             return Success(None)
 
         try:
-            begun = await self._actions.perform(make, send)
+            recorded = await self._actions.perform(make, send)
         finally:
-            self._acting = False
-        if isinstance(begun, Failure):
+            self._action_running = False
+        if isinstance(recorded, Failure):
             return
-        self._began_at = self._timers.now
+        self._reporter_since = self._timers.now
         self._log.note("usage_reporter", reporter=self._own_name)
         self._announce()
 
@@ -351,7 +352,7 @@
 
         async def make() -> usagewindows.UsageRecord | fencedactions.Withheld:
             nonlocal record
-            if not self.reports_itself:
+            if not self.is_reporter:
                 return fencedactions.Withheld(reason="another host reports")
             record = self._next_record()
             if record is None:
@@ -361,18 +362,18 @@
         try:
             sent = await self._actions.perform(make, self._calls.report_usage)
         finally:
-            self._acting = False
+            self._action_running = False
         if isinstance(sent, Failure):
             outcome = sent.failure().reason
         else:
             outcome = sent.unwrap().value
-            if sent.unwrap() is operatorcalls.CallOutcome.TAKEN:
+            if sent.unwrap() is operatorcalls.CallOutcome.ACCEPTED:
                 self._reports.record_acceptance(record.window)
         self._outcomes[outcome] = self._outcomes.get(outcome, 0) + 1
         if record is None:
             return
         self._reports.record_attempt(record.window, self._now)
-        if self.reports_itself:
+        if self.is_reporter:
             self._announce()
         self._log.note(
             "usage_report",
@@ -384,15 +385,15 @@
             outcome=outcome,
         )
 
-    def _take_record(
+    def _apply_record(
         self, record: orderrecords.OrderRecord, number: int
     ) -> None:
         match record:
             case usagewindows.UsageRecord():
                 self._reports.apply_record(record)
-                self._note_reporter(record.holder, number)
+                self._observe_reporter(record.holder, number)
             case usagewindows.ReporterRecord():
-                self._note_reporter(record.holder, number)
+                self._observe_reporter(record.holder, number)
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         self._reports.record_gap(self._now)
