--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerpass.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
@@ -1,4 +1,4 @@
-"""Passes an endpoint's answer to the caller, whole or event by event."""
+"""Forwards an endpoint's answer to the caller, whole or event by event."""
 
 from collections.abc import Callable
 
@@ -8,13 +8,13 @@
 from bulrushgrade_daemon import dialect as dialect_module
 from bulrushgrade_daemon import inflight
 
-BUFFER_BYTES = 262_144
-"""Of an answer that is held until it is whole, so that a torn one can be
-replaced. What is longer goes out as it arrives."""
+MAX_BUFFERED_BYTES = 262_144
+"""Answers up to this size are buffered until complete, so that a truncated one
+can be replaced by a retry. Longer ones are forwarded as they arrive."""
 
 MISDIRECTED_REQUEST = 421
 TOO_MANY_REQUESTS = 429
-PROMISES_NOT_RUN = frozenset(
+NOT_RUN_STATUSES = frozenset(
     {
         http.REQUEST_TIMEOUT,
         MISDIRECTED_REQUEST,
@@ -22,33 +22,35 @@
         http.SERVICE_UNAVAILABLE,
     }
 )
-"""Statuses that tell a caller that its request has not run and will not."""
+"""Statuses that tell a caller that its request has not run and won't run."""
 
 
 def is_failure(status: int) -> bool:
-    """Tells whether a status says that a run failed."""
-    return status >= http.INTERNAL_SERVER_ERROR or status in PROMISES_NOT_RUN
+    """Returns whether a status means that the request failed."""
+    return status >= http.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
 
 
-async def take_failure(
+async def read_failure(
     request: inflight.InFlight, dialect: dialect_module.Dialect
 ) -> inflight.AttemptEnd:
-    """Reads an endpoint's failure, to be passed on if nothing better comes."""
-    answer = request.call
+    """Reads an error answer, which is forwarded if no retry succeeds."""
+    answer = request.endpoint_answer
     parts: list[bytes] = []
     end = await answer.read(parts.append)
     if not end.whole:
         return inflight.AttemptEnd(
-            outcome=attempts.Outcome.LOST, reason=end.reason, broke_off=True
+            outcome=attempts.Outcome.LOST,
+            reason=end.reason,
+            connection_lost=True,
         )
     failure = inflight.EndpointFailure(
         status=answer.status,
         fields=dialect.write_answer_fields(answer.headers),
         body=b"".join(parts),
     )
-    # To the caller these say that nothing ran, which this endpoint does not
-    # say.
-    if answer.status in PROMISES_NOT_RUN:
+    # These would tell the caller that nothing ran, which the endpoint did
+    # not guarantee.
+    if answer.status in NOT_RUN_STATUSES:
         failure = None
     return inflight.AttemptEnd(
         outcome=attempts.Outcome.FAILED,
@@ -57,36 +59,38 @@
     )
 
 
-async def pass_whole(
+async def forward_whole(
     request: inflight.InFlight,
     dialect: dialect_module.Dialect,
-    on_heard: Callable[[], None],
+    on_arrival: Callable[[], None],
 ) -> inflight.AttemptEnd | None:
-    """Sends an answer once it is whole, or as it comes if it is long.
+    """Forwards an answer once it is complete, or as it arrives if it is long.
 
     Returns:
-        None where the caller has got all of it.
+        None if the caller got the complete answer.
     """
-    caller, answer = request.caller, request.call
-    held: list[bytes] = []
+    caller, answer = request.caller, request.endpoint_answer
+    buffered: list[bytes] = []
     size = 0
 
-    def take(data: bytes) -> None:
+    def receive(data: bytes) -> None:
         nonlocal size
-        on_heard()
+        on_arrival()
         size += len(data)
         if request.history.begun:
             caller.write(data)
             return
-        held.append(data)
-        if size > BUFFER_BYTES:
-            _begin(request, dialect)
-            caller.write(b"".join(held))
+        buffered.append(data)
+        if size > MAX_BUFFERED_BYTES:
+            _begin_answer(request, dialect)
+            caller.write(b"".join(buffered))
 
-    end = await answer.read(take)
+    end = await answer.read(receive)
     if not end.whole:
         return inflight.AttemptEnd(
-            outcome=attempts.Outcome.LOST, reason=end.reason, broke_off=True
+            outcome=attempts.Outcome.LOST,
+            reason=end.reason,
+            connection_lost=True,
         )
     if caller.is_disconnected:
         return None
@@ -94,34 +98,38 @@
         caller.finish_stream()
     else:
         fields = dialect.write_answer_fields(answer.headers)
-        caller.answer(answer.status, fields, b"".join(held))
+        caller.answer(answer.status, fields, b"".join(buffered))
     return None
 
 
-async def pass_events(
+async def forward_events(
     request: inflight.InFlight,
     dialect: dialect_module.Dialect,
-    on_heard: Callable[[], None],
+    on_arrival: Callable[[], None],
     on_events: Callable[[int], None],
 ) -> inflight.AttemptEnd | None:
-    """Sends each event as soon as it is whole.
+    """Forwards each event as soon as it is complete.
 
     Args:
-        request: Whose answer it is.
+        request: The request that is answered.
         dialect: Translates headers.
-        on_heard: Called with each arrival of bytes.
-        on_events: Called with how many events came together.
+        on_arrival: Called for each chunk of bytes.
+        on_events: Called with the number of events that arrived together.
 
     Returns:
-        None where the caller has got all of them.
+        None if the caller got all events.
     """
-    caller, splitter, answer = request.caller, request.splitter, request.call
+    caller, splitter, answer = (
+        request.caller,
+        request.splitter,
+        request.endpoint_answer,
+    )
     splitter.drop_partial()
     if request.history.begun:
         caller.set_producer(answer.producer)
 
-    def take(data: bytes) -> None:
-        on_heard()
+    def receive(data: bytes) -> None:
+        on_arrival()
         known_events = splitter.events
         whole = splitter.feed(data)
         if splitter.events > known_events:
@@ -130,28 +138,30 @@
             answer.abort()
         if whole and not caller.is_disconnected:
             if not request.history.begun:
-                _begin(request, dialect)
+                _begin_answer(request, dialect)
             caller.write(whole)
 
-    end = await answer.read(take)
+    end = await answer.read(receive)
     if not end.whole or splitter.partial:
         return inflight.AttemptEnd(
             outcome=attempts.Outcome.BROKEN_STREAM,
             reason=end.reason or "ended within an event",
-            broke_off=True,
+            connection_lost=True,
         )
     if caller.is_disconnected:
         return None
     if not request.history.begun:
-        _begin(request, dialect)
+        _begin_answer(request, dialect)
     caller.finish_stream()
     return None
 
 
-def _begin(request: inflight.InFlight, dialect: dialect_module.Dialect) -> None:
+def _begin_answer(
+    request: inflight.InFlight, dialect: dialect_module.Dialect
+) -> None:
     request.history.begun = True
-    fields = dialect.write_answer_fields(request.call.headers)
-    # A caller that reads slowly stops the endpoint instead of filling the
+    fields = dialect.write_answer_fields(request.endpoint_answer.headers)
+    # A caller that reads slowly pauses the endpoint instead of filling the
     # memory of this process.
-    request.caller.set_producer(request.call.producer)
-    request.caller.set_head(request.call.status, fields, None)
+    request.caller.set_producer(request.endpoint_answer.producer)
+    request.caller.set_head(request.endpoint_answer.status, fields, None)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 
 from bulrushgrade import serviceindex
-from bulrushgrade_daemon import intake
+from bulrushgrade_daemon import jobbuilder
 from bulrushgrade_daemon import plain
 from bulrushgrade_daemon import plainrelay
 from bulrushgrade_daemon import refusal
@@ -74,7 +74,7 @@
         self._settings = settings
         self._limits = settings.limits
         self._dependencies = dependencies
-        self._intake = intake.Intake(
+        self._job_builder = jobbuilder.JobBuilder(
             timers=dependencies.timers,
             service_index=dependencies.service_index,
             prefix=f"{settings.host.name}-{incarnation}",
@@ -157,7 +157,7 @@
         for path in (request_module.COMPLETIONS_PATH, request_module.CHAT_PATH):
             app.route(path, methods=["POST"])(self._handle_completion)
         app.route(
-            f"{intake.SERVICES_PREFIX}<path:rest>",
+            f"{jobbuilder.SERVICES_PREFIX}<path:rest>",
             methods=list(METHODS),
             merge_slashes=False,
         )(self._handle_plain_request)
@@ -192,8 +192,9 @@
 
     def _handle_completion(self, http_request: Any) -> Any:
         self._counts["model"] += 1
-        job_or_refusal = self._check_admission() or self._intake.make_model_job(
-            http_request
+        job_or_refusal = (
+            self._check_admission()
+            or self._job_builder.make_model_job(http_request)
         )
         if isinstance(job_or_refusal, refusal.Refusal):
             self._counts["bad"] += 1
@@ -215,7 +216,7 @@
 
     def _handle_plain_request(self, http_request: Any, rest: str) -> Any:
         self._counts["plain"] += 1
-        job = self._check_admission() or self._intake.make_plain_job(
+        job = self._check_admission() or self._job_builder.make_plain_job(
             http_request
         )
         if isinstance(job, refusal.Refusal):
@@ -260,7 +261,7 @@
         return answered
 
     def _set_headers(self, http_request: Any, job: Any) -> None:
-        http_request.setHeader(intake.REQUEST_HEADER, job.caller_id)
+        http_request.setHeader(jobbuilder.REQUEST_HEADER, job.caller_id)
         if self._stopping:
             http_request.setHeader("Connection", "close")
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashwatch.py
@@ -1,8 +1,8 @@
-"""Notices endpoints that end while they run callers' requests.
+"""Detects endpoints that crash while they run callers' requests.
 
-An answer that breaks off does not say so by itself: connections are reset,
-and some endpoints tear an answer and go on. An endpoint that takes no
-connection right after it has ended.
+A truncated answer alone does not show a crash: connections are reset, and some
+endpoints truncate an answer and keep running. An endpoint that accepts no
+connection right afterwards has crashed.
 """
 
 from collections.abc import Awaitable
@@ -17,31 +17,33 @@
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import task
 
-GATHER_S = 0.01
-"""From the first answer that breaks off to the check of its endpoint. Those of
-the other requests there break off in the same moment and need no other one."""
+CHECK_DELAY_S = 0.01
+"""Delay between the first truncated answer and the check of its endpoint. The
+other answers of a crashed endpoint are truncated at the same moment and don't
+need checks of their own."""
 
-SETTLE_S = 0.05
-"""How long a request waits for the check before it is sent on: longer than a
-connection takes to be opened or refused, and a small part of any target."""
+MAX_CHECK_WAIT_S = 0.05
+"""Longest time that a request waits for the check before it is retried. Longer
+than a connection takes to be opened or refused, and a small fraction of any
+latency target."""
 
-MOST_PATH = 120
-"""Characters of a path in a line of the log."""
+MAX_PATH_CHARS = 120
+"""Maximum length of a path in a log line."""
 
-MOST_RUNS = 256
-"""Requests that one crash tells of: more than an endpoint has slots."""
+MAX_RUNS = 256
+"""Requests reported for one crash; more than an endpoint has slots."""
 
 
 @attrs.frozen(kw_only=True)
-class BrokenRun:
-    """A request that was at an endpoint when that ended.
+class InterruptedRequest:
+    """A request whose answer was truncated or stayed silent.
 
     Attributes:
-        fingerprint: Names the request and its repeats.
-        caller_id: Names who sent it.
+        fingerprint: Identifies the request and its repetitions.
+        caller_id: Identifies the caller.
         request_id: The caller's id of this attempt.
-        path: What it asked for.
-        ran_s: Since its answer had begun, None where none had.
+        path: The path of the request.
+        ran_s: Time since its answer began, None if it had not.
     """
 
     fingerprint: str
@@ -52,35 +54,35 @@
 
 
 @attrs.define(kw_only=True)
-class _Unchecked:
-    """An endpoint that is still to be checked.
+class _PendingCheck:
+    """The check of an endpoint that has not finished.
 
     Attributes:
-        runs: The requests whose answers broke off there.
-        waiting: Those that wait until it is.
+        runs: The requests whose answers there were truncated or silent.
+        waiting: Deferreds that fire when the check has finished.
     """
 
-    runs: list[BrokenRun]
+    runs: list[InterruptedRequest]
     waiting: list[defer.Deferred] = attrs.field(factory=list)
 
 
 @attrs.frozen(kw_only=True)
 class Crash:
-    """An endpoint that ended with requests of this daemon.
+    """An endpoint that crashed with requests of this daemon.
 
     Attributes:
-        endpoint: Who ended.
-        runs: The requests that were there.
+        endpoint: The endpoint that crashed.
+        runs: The requests that it was running.
         reason: Why a connection to it failed.
     """
 
     endpoint: directory.Registration
-    runs: tuple[BrokenRun, ...]
+    runs: tuple[InterruptedRequest, ...]
     reason: str
 
 
 class CrashWatch:
-    """Checks the endpoints of answers that broke off."""
+    """Checks the endpoints of truncated answers for crashes."""
 
     def __init__(
         self,
@@ -88,90 +90,95 @@
         timers: Any,
         check: Callable[[directory.Registration], Awaitable[str | None]],
         is_leaving: Callable[[directory.Registration], bool],
-        take_crash: Callable[[Crash], None],
+        on_crash: Callable[[Crash], None],
         log: decisionlog.DecisionLog,
         on_broken: Callable[[str], None],
     ):
-        """Makes a state without broken answers.
+        """Creates the watch without pending checks.
 
         Args:
             timers: The timer service.
-            check: Returns why an endpoint takes no connection, None where it
-                takes one.
-            is_leaving: Returns whether an endpoint was seen to leave; its end
-                is then no crash.
-            take_crash: Takes each crash, in one part or several.
-            log: Gets a line for each.
-            on_broken: Called with the reason where an invariant is broken.
+            check: Returns why an endpoint accepts no connection, None if it
+                accepts one.
+            is_leaving: Returns whether an endpoint is known to be leaving;
+                its end is then no crash.
+            on_crash: Called with each crash, possibly several times with
+                different requests.
+            log: Gets a line for each crash.
+            on_broken: Called with the reason if an invariant is violated.
         """
         self._timers = timers
         self._check = check
         self._is_leaving = is_leaving
-        self._take_crash = take_crash
+        self._on_crash = on_crash
         self._log = log
         self._on_broken = on_broken
-        # By incarnation, until its endpoint was checked.
-        self._unchecked: dict[tuple[str, int], _Unchecked] = {}
+        # Keyed by the endpoint's incarnation.
+        self._pending_checks: dict[tuple[str, int], _PendingCheck] = {}
         self._counts = {"checks": 0, "crashes": 0, "requests": 0}
 
     @property
     def counts(self) -> dict[str, int]:
-        """Checks, crashes that they found, and requests that were there."""
+        """Number of checks, crashes found, and requests interrupted by them."""
         return dict(self._counts)
 
-    def note(self, request: inflight.InFlight) -> None:
-        """Notes that the answer of the endpoint that a request is at broke."""
+    def observe_broken_answer(self, request: inflight.InFlight) -> None:
+        """Takes in a truncated or silent answer and checks its endpoint."""
         endpoint = request.endpoint
         if self._is_leaving(endpoint):
             return
-        run = BrokenRun(
+        run = InterruptedRequest(
             fingerprint=request.fingerprint,
             caller_id=request.caller_id,
             request_id=request.info.request_id,
             path=request.caller.path.decode("latin-1"),
             ran_s=request.ran_s(self._timers.now),
         )
-        unchecked = self._unchecked.get(endpoint.incarnation)
-        if unchecked is None:
-            self._unchecked[endpoint.incarnation] = _Unchecked(runs=[run])
+        pending_check = self._pending_checks.get(endpoint.incarnation)
+        if pending_check is None:
+            self._pending_checks[endpoint.incarnation] = _PendingCheck(
+                runs=[run]
+            )
             task.spawn(
-                self._find_out(endpoint),
+                self._check_endpoint(endpoint),
                 name="crashwatch",
                 on_broken=self._on_broken,
             )
-        elif len(unchecked.runs) < MOST_RUNS:
-            unchecked.runs.append(run)
+        elif len(pending_check.runs) < MAX_RUNS:
+            pending_check.runs.append(run)
 
-    async def settle(self, endpoint: directory.Registration) -> None:
-        """Waits until an endpoint that was noted is checked, or for long."""
-        unchecked = self._unchecked.get(endpoint.incarnation)
-        if unchecked is None:
+    async def wait_for_check(self, endpoint: directory.Registration) -> None:
+        """Waits for a pending check of an endpoint, up to a time limit."""
+        pending_check = self._pending_checks.get(endpoint.incarnation)
+        if pending_check is None:
             return
         waited: defer.Deferred = defer.Deferred()
-        limit = self._timers.after(SETTLE_S, lambda: waited.callback(None))
-        unchecked.waiting.append(waited)
+        limit = self._timers.after(
+            MAX_CHECK_WAIT_S, lambda: waited.callback(None)
+        )
+        pending_check.waiting.append(waited)
         try:
             await waited
         finally:
             limit.cancel()
-            if waited in unchecked.waiting:
-                unchecked.waiting.remove(waited)
+            if waited in pending_check.waiting:
+                pending_check.waiting.remove(waited)
 
-    async def _find_out(self, endpoint: directory.Registration) -> None:
-        await self._timers.sleep(GATHER_S)
+    async def _check_endpoint(self, endpoint: directory.Registration) -> None:
+        await self._timers.sleep(CHECK_DELAY_S)
         self._counts["checks"] += 1
         reason = await self._check(endpoint)
-        unchecked = self._unchecked.pop(endpoint.incarnation)
+        pending_check = self._pending_checks.pop(endpoint.incarnation)
         if reason is not None:
-            self._note_crash(endpoint, unchecked.runs, reason)
-        waiting, unchecked.waiting = unchecked.waiting, []
+            self._record_crash(endpoint, pending_check.runs, reason)
+        waiting, pending_check.waiting = pending_check.waiting, []
         for waited in waiting:
             waited.callback(None)
 
-    def _note_crash(
+    def _record_crash(
         self,
         endpoint: directory.Registration,
-        runs: list[BrokenRun],
+        runs: list[InterruptedRequest],
         reason: str,
     ) -> None:
         self._counts["crashes"] += 1
@@ -188,11 +195,11 @@
                     "request": run.request_id,
                     "fingerprint": run.fingerprint,
                     "caller": run.caller_id,
-                    "path": run.path[:MOST_PATH],
+                    "path": run.path[:MAX_PATH_CHARS],
                     "ran_s": None if run.ran_s is None else round(run.ran_s, 3),
                 }
                 for run in runs
             ],
         )
         crash = Crash(endpoint=endpoint, runs=tuple(runs), reason=reason)
-        self._take_crash(crash)
+        self._on_crash(crash)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -1,7 +1,7 @@
-"""Serves callers' requests, each until it has its answer.
+"""Serves callers' requests until each is answered.
 
-The forwarder runs a request's attempts; what follows from each is decided by
-`bulrushgrade.attempts`, and who gets the request by `choosing`.
+The forwarder runs a request's attempts. `bulrushgrade.attempts` decides what
+follows from each one, and `endpointchooser` chooses their endpoints.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 from bulrushgrade import retryshare
 from bulrushgrade import routing
 from bulrushgrade import workspaces
-from bulrushgrade_daemon import answerpass
-from bulrushgrade_daemon import choosing
+from bulrushgrade_daemon import answerforwarding
 from bulrushgrade_daemon import crashwatch
 from bulrushgrade_daemon import dialect as dialect_module
 from bulrushgrade_daemon import endpointcalls
+from bulrushgrade_daemon import endpointchooser
 from bulrushgrade_daemon import enginework
 from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import inflight
@@ -33,53 +33,53 @@
 from bulrushgrade_daemon import requestlog
 from bulrushgrade_daemon import task
 
-MARGIN_S = 0.02
-"""Kept from a deadline for the way back to the caller."""
+DEADLINE_MARGIN_S = 0.02
+"""Reserved before a deadline for sending the answer to the caller."""
 
 MIN_ATTEMPT_S = 0.05
-"""Time that must be left for another attempt to be of use."""
+"""Minimum time left before the deadline for another attempt."""
 
-SILENT_S = 1.0
-"""Without a word of an endpoint, after which a request that is given up has
-the endpoint checked: longer than any usual pause."""
+MIN_SILENCE_S = 1.0
+"""Silence after which the endpoint of a cancelled request is checked for a
+crash. Longer than any usual pause."""
 
 
 @attrs.frozen(kw_only=True)
-class Parts:
-    """What the forwarder works with.
+class Dependencies:
+    """Services and callbacks that the forwarder uses.
 
     Attributes:
         timers: The timer service.
-        admission: Decides which requests are taken.
+        admission: Decides which requests are accepted.
         dialect: Translates headers.
         chooser: Chooses endpoints.
-        work: Takes note of work at engines.
-        calls: Sends requests to them.
-        crashes: Notices endpoints that end.
-        ledger: What is known of crashes of endpoints.
-        note_whole: Takes the fingerprint of a request that was at crashes
-            and has run to its end.
+        work: Tracks work at engines.
+        calls: Sends requests to endpoints.
+        crashes: Detects crashes of endpoints.
+        ledger: Requests that were in flight at endpoints that crashed.
+        observe_completion: Called with the fingerprint of a request that was
+            involved in crashes and has completed.
         log: Gets a line for each decision that is out of the ordinary.
         rng: Source of random choices.
-        on_broken: Called with the reason where an invariant is broken.
+        on_broken: Called with the reason if an invariant is violated.
     """
 
     timers: Any
     admission: requestadmission.RequestAdmission
     dialect: dialect_module.Dialect
-    chooser: choosing.Chooser
+    chooser: endpointchooser.EndpointChooser
     work: enginework.EngineWork
     calls: endpointcalls.EndpointCalls
     crashes: crashwatch.CrashWatch
     ledger: crashledger.CrashLedger
-    note_whole: Callable[[str], None]
+    observe_completion: Callable[[str], None]
     log: requestlog.RequestLog
     rng: random.Random
     on_broken: Callable[[str], None]
 
 
 class Forwarder:
-    """Serves requests until each has its answer."""
+    """Serves requests until each is answered."""
 
     name = "forwarder"
     requires = ("timer",)
@@ -87,75 +87,77 @@
     def __init__(
         self,
         *,
-        parts: Parts,
-        new_share: Callable[[], retryshare.RetryShare],
-        note_begun: Callable[[workspaces.Workspace | None, float], None],
-        observe: Callable[[str, float], None] = lambda route, took_s: None,
+        dependencies: Dependencies,
+        make_retry_share: Callable[[], retryshare.RetryShare],
+        record_run_start: Callable[[workspaces.Workspace | None, float], None],
+        observe_latency: Callable[[str, float], None] = lambda route, took_s: (
+            None
+        ),
     ):
-        """Makes the service.
+        """Creates the service.
 
         Args:
-            parts: What it works with.
-            new_share: Returns the retry budget of a service met anew.
-            observe: Takes the kind of a route and the seconds that an answer
-                took.
-            note_begun: Takes whose request an endpoint began to run, and
-                when.
+            dependencies: Services and callbacks that it uses.
+            make_retry_share: Returns the retry budget of a new service.
+            record_run_start: Called with a request's workspace and the time
+                when an endpoint began to run it.
+            observe_latency: Called with the kind of a route and the seconds
+                that an answer took.
         """
-        self._timers = parts.timers
-        self._dialect = parts.dialect
-        self._chooser = parts.chooser
-        self._work = parts.work
-        self._calls = parts.calls
-        self._crashes = parts.crashes
-        self._admission = parts.admission
-        self._ledger = parts.ledger
-        self._note_whole = parts.note_whole
-        self._log = parts.log
-        self._rng = parts.rng
-        self._on_broken = parts.on_broken
-        self._new_share = new_share
-        self._observe = observe
-        self._note_begun = note_begun
-        self._shares: dict[str, retryshare.RetryShare] = {}
+        self._timers = dependencies.timers
+        self._dialect = dependencies.dialect
+        self._chooser = dependencies.chooser
+        self._work = dependencies.work
+        self._calls = dependencies.calls
+        self._crashes = dependencies.crashes
+        self._admission = dependencies.admission
+        self._ledger = dependencies.ledger
+        self._observe_completion = dependencies.observe_completion
+        self._log = dependencies.log
+        self._rng = dependencies.rng
+        self._on_broken = dependencies.on_broken
+        self._make_retry_share = make_retry_share
+        self._observe_latency = observe_latency
+        self._record_run_start = record_run_start
+        self._retry_shares: dict[str, retryshare.RetryShare] = {}
         self._open: set[inflight.InFlight] = set()
         self._counts: dict[str, int] = {}
 
     @property
     def open_requests(self) -> int:
-        """Requests under way."""
+        """Number of requests in flight."""
         return len(self._open)
 
     @property
     def counts(self) -> dict[str, int]:
-        """Requests by how they ended, attempts by what came of them."""
+        """Number of requests by how they ended, of attempts by outcome."""
         return self._admission.counts | self._counts
 
     async def start(self) -> None:
-        """Opens nothing."""
+        """Does nothing; requests come through `handle`."""
 
     async def stop(self) -> None:
-        """Closes nothing; whoever stops it waits for open requests."""
+        """Does nothing; its owner waits for open requests."""
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is under way."""
+        """Returns the number of open requests and the counts."""
         return {"open": self.open_requests, "counts": self.counts}
 
     def handle(self, caller: frontend.CallerRequest) -> None:
-        """Takes a request that was read whole."""
+        """Serves a request that has been read completely."""
         try:
             request = self._admission.admit(caller)
         except errors.BrokenInvariantError:
             raise
         except Exception:
-            self._end_broken(caller, None)
+            self._end_with_internal_error(caller, None)
             return
         if request is None:
             return
-        self._share(request.service).count_request(self._timers.now)
+        self._retry_share(request.service).count_request(self._timers.now)
         self._open.add(request)
         running = task.spawn(
             self._serve(request), name="request", on_broken=self._on_broken
@@ -169,7 +171,7 @@
             running.cancel()
 
         left_s = request.left_s(self._timers.now)
-        expiry = self._timers.after(left_s - MARGIN_S, expire)
+        expiry = self._timers.after(left_s - DEADLINE_MARGIN_S, expire)
         running.addBoth(lambda result: expiry.cancel() or result)
 
     async def _serve(self, request: inflight.InFlight) -> None:
@@ -180,7 +182,7 @@
         except errors.BrokenInvariantError:
             raise
         except Exception:
-            self._end_broken(request.caller, request)
+            self._end_with_internal_error(request.caller, request)
         finally:
             request.caller.on_disconnect = None
             self._open.discard(request)
@@ -190,8 +192,8 @@
             await self._chooser.query_peers(request)
             endpoint = self._chooser.choose(request)
             if endpoint is None:
-                lack = self._chooser.describe_lack(request)
-                self._finish(request, None, lack)
+                cause = self._chooser.explain_no_endpoint(request)
+                self._finish(request, None, cause)
                 return
             late_s = self._predicted_lateness_s(request)
             if late_s > 0:
@@ -199,17 +201,17 @@
                 return
             request.endpoint = endpoint
             ended = await self._attempt(request)
-            if request.over:
+            if request.is_over:
                 raise defer.CancelledError()
             if ended is None:
-                self._note_answered(request)
+                self._record_answered(request)
                 return
-            if not await self._goes_on(request, ended):
+            if not await self._handle_failed_attempt(request, ended):
                 self._finish(request, ended, ended.reason)
                 return
 
     def _predicted_lateness_s(self, request: inflight.InFlight) -> float:
-        """Returns how much too late the first event is expected to be."""
+        """Returns by how much the first event is expected to be late."""
         if request.plan is None:
             return 0.0
         now = self._timers.now
@@ -223,46 +225,47 @@
     async def _attempt(
         self, request: inflight.InFlight
     ) -> inflight.AttemptEnd | None:
-        """Returns None where the caller has got a whole answer."""
+        """Runs one attempt; returns None if the caller got a whole answer."""
         request.sent_at = self._timers.now
         request.answer_began_at = None
         try:
-            return await self._read_and_run(request)
+            return await self._prefill_and_run(request)
         except defer.CancelledError:
-            # An endpoint whose host vanished closes no connection; its
-            # callers leave, or their time is up.
-            if request.silent_s(self._timers.now) >= SILENT_S:
-                self._crashes.note(request)
+            # An endpoint whose host vanished closes no connection: its
+            # callers disconnect or reach their deadlines.
+            if request.silence_s(self._timers.now) >= MIN_SILENCE_S:
+                self._crashes.observe_broken_answer(request)
             raise
         finally:
             request.sent_at = None
 
-    async def _read_and_run(
+    async def _prefill_and_run(
         self, request: inflight.InFlight
     ) -> inflight.AttemptEnd | None:
-        """Has engines read a prompt and run it, or an endpoint run it all."""
+        """Runs a request, with its prompt prefilled elsewhere if so planned."""
         if request.plan is None or request.plan.prefill is None:
             return await self._run(request, None)
         engine = request.plan.prefill
-        # Whatever fails until it has read is its failure, not the receiver's.
+        # Until the prefill has ended, a failure is the prefiller's and not
+        # the decoder's.
         request.endpoint = engine
-        ended = self._work.note_reading(request, engine, reads=True)
+        end_work = self._work.begin_work(request, engine, prefills=True)
         prefilled = None
         try:
             prefilled = await self._calls.prefill(request, engine)
         finally:
-            ended(isinstance(prefilled, dialect_module.PrefilledBy))
+            end_work(isinstance(prefilled, dialect_module.PrefilledBy))
         if isinstance(prefilled, inflight.AttemptEnd):
             return prefilled
         self._count("prefilled")
-        request.read_at = self._timers.now
+        request.prefilled_at = self._timers.now
         try:
-            receiver = self._chooser.choose_receiver(request)
-            request.endpoint = receiver or request.plan.decode
-            if receiver is None:
+            decoder = self._chooser.choose_decoder(request)
+            request.endpoint = decoder or request.plan.decode
+            if decoder is None:
                 return inflight.AttemptEnd(
                     outcome=attempts.Outcome.UNREACHED,
-                    reason="no engine left that generates",
+                    reason="no decode engine available",
                 )
             return await self._run(request, prefilled)
         finally:
@@ -274,83 +277,87 @@
         request: inflight.InFlight,
         prefilled: dialect_module.PrefilledBy | None,
     ) -> inflight.AttemptEnd | None:
-        """Has an endpoint run the request and passes its answer on."""
+        """Has an endpoint run the request and forwards its answer."""
         endpoint = request.endpoint
         began = self._timers.now
         self._chooser.begin(endpoint)
-        ended = self._work.note_reading(
-            request, endpoint, reads=prefilled is None
+        end_work = self._work.begin_work(
+            request, endpoint, prefills=prefilled is None
         )
         stream = self._work.begin_stream(request, endpoint)
 
-        def note_events(count: int) -> None:
-            self._note_first_run(request, self._timers.now)
+        def observe_events(count: int) -> None:
+            self._record_first_run(request, self._timers.now)
             stream.events(count)
-            request.pace.note(self._timers.now)
+            request.pace.observe_events(self._timers.now)
 
         try:
             sent = await self._calls.run(request, endpoint, prefilled)
             if request.plan is None and _may_have_run(sent):
-                self._note_first_run(request, began)
+                self._record_first_run(request, began)
             if isinstance(sent, inflight.AttemptEnd):
                 return sent
-            request.call = sent
+            request.endpoint_answer = sent
             request.answer_began_at = self._timers.now
             latency_s = request.answer_began_at - began
-            failed = await self._pass(request, lambda: ended(True), note_events)
+            failed = await self._forward_answer(
+                request, lambda: end_work(True), observe_events
+            )
             if failed is None:
-                self._chooser.succeeded(endpoint, latency_s)
+                self._chooser.observe_success(endpoint, latency_s)
             return failed
         finally:
-            if request.call is not None:
-                request.call.abort()
-            request.call = None
+            if request.endpoint_answer is not None:
+                request.endpoint_answer.abort()
+            request.endpoint_answer = None
             self._chooser.end(endpoint)
             if request.is_late:
                 self._count("late")
-                beliefs = self._work.describe(endpoint)
-                self._log.log_late(request, endpoint, beliefs)
+                estimates = self._work.describe(endpoint)
+                self._log.log_late(request, endpoint, estimates)
             stream.ended()
-            ended(False)
+            end_work(False)
 
-    def _note_first_run(self, request: inflight.InFlight, at: float) -> None:
+    def _record_first_run(self, request: inflight.InFlight, at: float) -> None:
         if not request.is_counted:
             request.is_counted = True
-            self._note_begun(request.workspace, at)
+            self._record_run_start(request.workspace, at)
 
-    async def _pass(
+    async def _forward_answer(
         self,
         request: inflight.InFlight,
-        on_heard: Callable[[], None],
+        on_arrival: Callable[[], None],
         on_events: Callable[[int], None],
     ) -> inflight.AttemptEnd | None:
-        status = request.call.status
-        if answerpass.is_failure(status):
-            return await answerpass.take_failure(request, self._dialect)
+        status = request.endpoint_answer.status
+        if answerforwarding.is_failure(status):
+            return await answerforwarding.read_failure(request, self._dialect)
         is_stream = request.route.kind is routing.RequestKind.STREAM
         if is_stream and status == http.OK:
-            return await answerpass.pass_events(
-                request, self._dialect, on_heard, on_events
+            return await answerforwarding.forward_events(
+                request, self._dialect, on_arrival, on_events
             )
-        return await answerpass.pass_whole(request, self._dialect, on_heard)
+        return await answerforwarding.forward_whole(
+            request, self._dialect, on_arrival
+        )
 
-    async def _goes_on(
+    async def _handle_failed_attempt(
         self, request: inflight.InFlight, ended: inflight.AttemptEnd
     ) -> bool:
-        """Notes an attempt that failed; returns whether another follows."""
+        """Records a failed attempt; returns whether to start another one."""
         endpoint = request.endpoint
         request.history.note(ended.outcome)
         self._count(f"attempt_{ended.outcome.value}")
-        self._chooser.failed(request, endpoint, ended)
-        if ended.broke_off:
-            self._crashes.note(request)
-            await self._crashes.settle(endpoint)
+        self._chooser.observe_failed_attempt(request, endpoint, ended)
+        if ended.connection_lost:
+            self._crashes.observe_broken_answer(request)
+            await self._crashes.wait_for_check(endpoint)
             request.avoid_zones = self._ledger.zones(request.fingerprint)
-        again = self._may_try_again(request)
+        again = self._may_retry(request)
         self._log.log_attempt(request, endpoint, ended, again=again)
         return again
 
-    def _may_try_again(self, request: inflight.InFlight) -> bool:
+    def _may_retry(self, request: inflight.InFlight) -> bool:
         now = self._timers.now
         if request.left_s(now) < MIN_ATTEMPT_S:
             return False
@@ -360,7 +367,7 @@
             return False
         if request.history.last is attempts.Outcome.UNREACHED:
             return True
-        return self._share(request.service).spend(now)
+        return self._retry_share(request.service).spend(now)
 
     def _finish(
         self,
@@ -368,7 +375,7 @@
         ended: inflight.AttemptEnd | None,
         reason: str,
     ) -> None:
-        """Ends a request that no endpoint answered."""
+        """Ends a request that no endpoint answered completely."""
         step = attempts.final_step(request.history)
         self._count(f"ended_{step.value}")
         self._log.log_ended(request, step, reason)
@@ -379,12 +386,12 @@
             failure = ended.failure
             caller.answer(failure.status, failure.fields, failure.body)
         elif step is attempts.NextStep.REFUSE:
-            caller.refuse(self._return_after_s(request))
+            caller.refuse(self._choose_retry_after_s(request))
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
     def _end_cancelled(self, request: inflight.InFlight) -> None:
-        """Ends a request whose caller has left or whose time is up."""
+        """Ends a request whose caller disconnected or whose deadline passed."""
         if request.caller.is_disconnected:
             self._count("ended_caller_left")
             return
@@ -395,13 +402,14 @@
         else:
             request.caller.answer(http.GATEWAY_TIMEOUT, [], b"")
 
-    def _end_broken(
+    def _end_with_internal_error(
         self, caller: frontend.CallerRequest, request: inflight.InFlight | None
     ) -> None:
-        """Ends a request whose own task failed in a way nobody foresaw.
+        """Ends a request whose task raised an unexpected exception.
 
-        The process goes on. Its end would cut all other requests, and where
-        the request itself is the cause, its next try would end another host.
+        The process keeps running. Stopping it would cut all other requests,
+        and if the request itself causes the error, the caller's retry would
+        stop another host.
         """
         self._count("ended_broken")
         self._log.log_broken(request, traceback.format_exc())
@@ -410,7 +418,7 @@
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
-    def _return_after_s(self, request: inflight.InFlight) -> float:
+    def _choose_retry_after_s(self, request: inflight.InFlight) -> float:
         quarantined_s = self._quarantined_s(request)
         if quarantined_s > 0:
             return quarantined_s
@@ -421,23 +429,23 @@
         )
 
     def _quarantined_s(self, request: inflight.InFlight) -> float:
-        """Returns how long a request remains quarantined, 0 if it is not."""
+        """Returns how long a request remains quarantined, 0 if it isn't."""
         if not len(self._ledger):
             return 0.0
         return self._ledger.left_s(request.fingerprint, self._timers.now)
 
-    def _note_answered(self, request: inflight.InFlight) -> None:
+    def _record_answered(self, request: inflight.InFlight) -> None:
         self._count("answered")
         if len(self._ledger) and self._ledger.involvements(request.fingerprint):
-            self._note_whole(request.fingerprint)
+            self._observe_completion(request.fingerprint)
         took_s = self._timers.now - request.caller.arrived_at
-        self._observe(request.route.kind.value, took_s)
+        self._observe_latency(request.route.kind.value, took_s)
 
-    def _share(self, service: str) -> retryshare.RetryShare:
-        share = self._shares.get(service)
+    def _retry_share(self, service: str) -> retryshare.RetryShare:
+        share = self._retry_shares.get(service)
         if share is None:
-            share = self._new_share()
-            self._shares[service] = share
+            share = self._make_retry_share()
+            self._retry_shares[service] = share
         return share
 
     def _count(self, what: str) -> None:
--- a/packages/bulrushgrade_daemon/tests/test_choosing.py
+++ b/packages/bulrushgrade_daemon/tests/test_endpointchooser.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon believes of its engines when it chooses."""
+"""Tests of choosing endpoints and of the state of engines behind it."""
 
 import random
 
@@ -14,8 +14,8 @@
 from bulrushgrade import peerloads
 from bulrushgrade import prompt as prompt_module
 from bulrushgrade import routing
-from bulrushgrade_daemon import choosing
 from bulrushgrade_daemon import dialect
+from bulrushgrade_daemon import endpointchooser
 from bulrushgrade_daemon import enginework
 from bulrushgrade_daemon import inflight
 
@@ -53,13 +53,13 @@
 
 @attrs.frozen(kw_only=True)
 class Caller:
-    """A caller whose request came at a time."""
+    """A caller whose request arrived at a given time."""
 
     arrived_at: float = 0.0
 
 
 class Scene:
-    """One daemon with two engines that read and two that generate."""
+    """One daemon with two prefillers and two decoders."""
 
     def __init__(self):
         self.reactor, self.timers, _ = fakes.make_timers()
@@ -80,12 +80,12 @@
             timers=self.timers,
             table=lambda: TABLE,
             endpoints=endpoints,
-            others=self.peers,
+            peers=self.peers,
             index=None,
         )
         self.work = work
         self.fleet = work.fleet("llm")
-        self.chooser = choosing.Chooser(
+        self.chooser = endpointchooser.EndpointChooser(
             timers=self.timers,
             zone="z1",
             table=lambda: TABLE,
@@ -101,9 +101,9 @@
         for engine in self.engines:
             if engine.id in ids:
                 for _ in range(3):
-                    self.chooser.note_failure(engine)
+                    self.chooser.observe_failure(engine)
 
-    def seen(self):
+    def visible_engines(self):
         (view,) = self.chooser.engine_views()
         return [found.engine.id for found in view.engines]
 
@@ -112,17 +112,19 @@
         return engine
 
     def choose(self, request):
-        """Returns the ids of the reading and the generating engine."""
+        """Returns the ids of the prefiller and the decoder."""
         found = self.chooser.choose(request)
-        reader = request.plan and request.plan.prefill
-        return reader and reader.id, found and found.id
+        prefiller = request.plan and request.plan.prefill
+        return prefiller and prefiller.id, found and found.id
 
     def fail(self, id, outcome, request=None):
         ended = inflight.AttemptEnd(outcome=outcome, reason="test")
-        self.chooser.failed(request or make_request(), self.find(id), ended)
+        self.chooser.observe_failed_attempt(
+            request or make_request(), self.find(id), ended
+        )
 
-    def let_stream(self, id):
-        """Has an engine stream an answer; returns what takes its events."""
+    def start_stream(self, id):
+        """Starts a stream at an engine; returns its callback for events."""
         engine, request = self.find(id), make_request()
         self.chooser.choose(request)
         return self.work.begin_stream(request, engine).events
@@ -143,45 +145,45 @@
     )
 
 
-def test_engines_that_fail_here_and_nobody_uses_are_lost():
+def test_engines_ejected_here_and_unused_by_peers_are_lost():
     scene = Scene()
     scene.eject("d1", "d2")
-    assert scene.seen() == ["p1", "p2"]
+    assert scene.visible_engines() == ["p1", "p2"]
 
 
-def test_engines_that_only_fail_here_are_not_lost():
-    """A daemon fails at both engines that generate, others do not.
+def test_ejected_engines_that_stream_to_peers_are_not_lost():
+    """One daemon fails to reach both decoders, its peers don't.
 
-    It had a reader change its role because "no decode engine", and prompts
-    waited for the rest of the day behind one reader fewer.
+    It ordered a prefiller to become a decoder ("no decode engine"), and
+    prompts queued for the rest of the day with one prefiller fewer.
     """
     scene = Scene()
     scene.eject("d1", "d2")
     share = peerloads.EngineShare(streams=3, tokens=9_000)
     scene.peers.update_group("h2", 1, {"d1": share}, scene.timers.now)
-    assert scene.seen() == ["p1", "p2", "d1"]
+    assert scene.visible_engines() == ["p1", "p2", "d1"]
 
 
-def test_engines_that_refuse_connections_while_they_stream_are_full():
-    """Two of six engines crash in a burst; the others take no more connections.
+def test_engine_that_refuses_connections_while_streaming_is_full():
+    """Two of six engines crash in a burst; the others accept no connections.
 
-    Each host took all of them out for a second after two refused connections,
-    for two the next time, and refused some 800 requests with `no endpoint`
-    while the engines emptied to a fifth of their slots.
+    After two refused connections, each host ejected all of them for a second,
+    then for two, and refused some 800 requests with `no endpoint` while the
+    use of the engines fell to a fifth of their slots.
     """
     scene = Scene()
-    note_events = scene.let_stream("d1")
+    observe_events = scene.start_stream("d1")
     for _ in range(4):
         scene.reactor.advance(0.1)
-        note_events(1)
+        observe_events(1)
         scene.fail("d1", attempts.Outcome.UNREACHED)
         scene.fail("d2", attempts.Outcome.UNREACHED)
     assert scene.choose(make_request())[1] == "d1"
 
 
-def test_engines_that_have_stopped_streaming_are_lost():
+def test_engine_that_has_stopped_streaming_is_ejected():
     scene = Scene()
-    scene.let_stream("d1")(1)
+    scene.start_stream("d1")(1)
     scene.reactor.advance(0.5)
     for _ in range(2):
         scene.fail("d1", attempts.Outcome.UNREACHED)
@@ -189,21 +191,21 @@
         assert scene.choose(make_request())[1] == "d2"
 
 
-def test_generating_engines_that_were_ejected_are_better_than_none():
-    """All engines that generate fail twice, for other reasons each.
+def test_ejected_decoders_are_used_when_all_are_ejected():
+    """All decoders fail twice, each for a different reason.
 
-    Those that read were left, so that nothing seemed amiss; every request was
-    refused until the ejections ran out.
+    As prefillers were left, the balancer did not see that a whole role was
+    ejected, and every request was refused until the ejections ended.
     """
     scene = Scene()
     scene.eject("d1", "d2")
     assert scene.choose(make_request())[1] in ("d1", "d2")
 
 
-def test_an_engine_that_is_another_one_now_is_left_at_once():
-    """An engine that read prompts crashed and its address was taken over.
+def test_prefiller_whose_address_was_taken_over_is_ejected_at_once():
+    """A prefiller crashes, and another endpoint takes over its address.
 
-    Until its record lapsed, every prompt that was sent there was refused.
+    Every prompt that was sent there was refused until the record expired.
     """
     for first, other in (("p1", "p2"), ("p2", "p1")):
         scene = Scene()
@@ -211,7 +213,7 @@
         assert scene.choose(make_request(tokens=20_000))[0] == other
 
 
-def test_a_full_engine_is_not_ejected():
+def test_full_engine_is_not_ejected():
     scene = Scene()
     for _ in range(5):
         scene.fail("d1", attempts.Outcome.TURNED_AWAY)
@@ -220,11 +222,11 @@
     assert scene.choose(make_request())[1] == "d1"
 
 
-def test_a_long_prompt_that_will_be_late_lets_all_others_go_first():
-    """A burst of long prompts comes, half of which could be in time.
+def test_long_prompt_expected_late_gets_lowest_urgency():
+    """A burst of long prompts arrives, of which half could be in time.
 
-    Read in the order of arrival, all of them were late: the last as much as
-    those that came when there was still time.
+    Served in the order of arrival, all of them were late, also those that
+    arrived while there was still time.
     """
     scene = Scene()
     request = make_request(tokens=30_000, route=DRAFTS)
@@ -237,10 +239,11 @@
     assert early.urgency == DRAFTS.urgency
 
 
-def test_work_of_a_more_urgent_kind_keeps_its_place_when_it_is_late():
-    """Short prompts wait in a burst, some longer than their target.
+def test_late_work_of_a_more_urgent_route_keeps_its_urgency():
+    """Some short prompts wait longer than their target during a burst.
 
-    Behind all long prompts they were not late but lost: their callers left.
+    Queued behind all long prompts they were never served in time, and their
+    callers disconnected.
     """
     scene = Scene()
     request = make_request(tokens=30_000, route=QUERIES)
@@ -249,15 +252,15 @@
     assert request.urgency == QUERIES.urgency
 
 
-def test_a_stream_that_lets_others_go_first_counts_when_it_runs():
+def test_stream_of_lowest_urgency_counts_from_its_first_event():
     scene = Scene()
     request = make_request(tokens=30_000, route=DRAFTS)
     scene.choose(request)
-    notes = scene.work.begin_stream(request, scene.find("d1"))
+    observer = scene.work.begin_stream(request, scene.find("d1"))
     assert scene.work.shares() == {}
-    notes.events(1)
+    observer.events(1)
     assert scene.work.shares()["d1"].streams == 1
-    notes.ended()
+    observer.ended()
     assert scene.work.shares() == {}
 
 
@@ -270,7 +273,7 @@
     parts=st.lists(st.tuples(st.sampled_from("abc"), COUNTS), max_size=3),
 )
 def test_any_prompt_is_placed_or_refused(prompt_tokens, output_tokens, parts):
-    """A caller's figures broke the planner, and with it the host."""
+    """Extreme values from a caller crashed the planner and thus the host."""
     scene = Scene()
     request = make_request()
     request.info = attrs.evolve(
@@ -293,8 +296,8 @@
 def test_prompt_that_no_engine_can_hold_is_refused_at_once():
     """One caller's prompt was larger than any engine's memory.
 
-    It was sent to engines that all refused it, and the mean size of long
-    prompts, by which others are admitted, went up a hundred times.
+    It was sent to engines that all refused it, and it raised the mean size of
+    long prompts, which admission depends on, a hundredfold.
     """
     scene = Scene()
     usual = make_request(tokens=50_000)
@@ -302,6 +305,6 @@
     size = scene.fleet.relative_size(50_000)
     too_large = make_request(tokens=TRAITS.memory_tokens + 1)
     assert scene.choose(too_large) == (None, None)
-    assert "larger" in scene.chooser.describe_lack(too_large)
+    assert "larger" in scene.chooser.explain_no_endpoint(too_large)
     assert scene.fleet.relative_size(50_000) == size
     assert scene.choose(make_request(tokens=TRAITS.memory_tokens))[1]
--- a/packages/bulrushgrade_daemon/tests/test_outbound.py
+++ b/packages/bulrushgrade_daemon/tests/test_outbound.py
@@ -12,7 +12,7 @@
 
 
 class Connector:
-    """An opening that ends as a test says."""
+    """A connection attempt that ends as the test specifies."""
 
     def __init__(self, factory):
         self._factory = factory
@@ -28,7 +28,7 @@
 
 
 class Transport:
-    """A connection that was opened."""
+    """An open connection."""
 
     is_aborted = False
 
@@ -36,17 +36,17 @@
         return self
 
     def setsockopt(self, *option):
-        """Takes what is set of the socket."""
+        """Ignores socket options."""
 
     def setTcpNoDelay(self, on):  # noqa: N802
-        """Takes that small parts are sent at once."""
+        """Ignores the option."""
 
     def abortConnection(self):  # noqa: N802
         self.is_aborted = True
 
 
 class Reactor:
-    """Keeps the connectors that it was asked for."""
+    """Records the connectors that it creates."""
 
     def __init__(self):
         self.connectors = []
@@ -58,54 +58,56 @@
 
 def send():
     reactor = Reactor()
-    sending = fakes.run(
+    pending_send = fakes.run(
         outbound.send(reactor, "10.0.0.1", 80, REQUEST, connect_timeout_s=0.3)
     )
-    return reactor.connectors[0], sending
+    return reactor.connectors[0], pending_send
 
 
-def test_opening_that_fails_is_a_value():
-    """A host is cut off and the opening of a connection times out.
+def test_failed_connect_is_returned_as_a_failure():
+    """A host is cut off, and opening a connection times out.
 
-    Twisted's timeout is a kind of the error that it gives for a cancelled
-    opening. Taken for a cancellation, it ended the follower of the store
-    without a word, and the gateway served for ever by what it knew then.
+    Twisted's timeout is a subclass of the error that it raises for a cancelled
+    attempt. Taken for a cancellation, it silently ended the task that follows
+    the store, and the gateway kept serving by outdated data.
     """
     for reason in (error.TimeoutError(), error.ConnectionRefusedError()):
-        connector, sending = send()
+        connector, pending_send = send()
         ended = []
-        sending.addBoth(ended.append)
+        pending_send.addBoth(ended.append)
         connector.fail(reason)
         assert isinstance(ended[0], Failure), ended
         assert ended[0].failure().written is False
 
 
-def test_cancelled_opening_is_cancelled():
-    _, sending = send()
+def test_cancelled_connect_raises_cancelled_error():
+    _, pending_send = send()
     ended = []
-    sending.addErrback(lambda f: ended.append(f.type))
-    sending.cancel()
+    pending_send.addErrback(lambda f: ended.append(f.type))
+    pending_send.cancel()
     assert ended == [defer.CancelledError]
 
 
-def find_refusal():
+def find_connect_error():
     reactor = Reactor()
-    finding = fakes.run(
-        outbound.find_refusal(reactor, "10.0.0.1", 80, connect_timeout_s=0.3)
+    pending = fakes.run(
+        outbound.find_connect_error(
+            reactor, "10.0.0.1", 80, connect_timeout_s=0.3
+        )
     )
     ended = []
-    finding.addBoth(ended.append)
+    pending.addBoth(ended.append)
     return reactor.connectors[0], ended
 
 
-def test_refused_connection_is_told_by_its_reason():
-    connector, ended = find_refusal()
+def test_refused_connection_is_reported_with_its_reason():
+    connector, ended = find_connect_error()
     connector.fail(error.ConnectionRefusedError())
     assert ended == ["ConnectionRefusedError"]
 
 
-def test_connection_that_opens_is_dropped_and_no_refusal():
-    connector, ended = find_refusal()
+def test_opened_connection_is_closed_and_reports_no_error():
+    connector, ended = find_connect_error()
     transport = Transport()
     connector.open(transport)
     assert ended == [None]
