--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/answerforwarding.py
@@ -92,10 +92,10 @@
             reason=end.reason,
             connection_lost=True,
         )
-    if caller.gone:
+    if caller.is_disconnected:
         return None
     if request.history.begun:
-        caller.end()
+        caller.finish_stream()
     else:
         fields = dialect.write_answer_fields(answer.headers)
         caller.answer(answer.status, fields, b"".join(buffered))
@@ -126,7 +126,7 @@
     )
     splitter.drop_partial()
     if request.history.begun:
-        caller.pace(answer.producer)
+        caller.set_producer(answer.producer)
 
     def receive(data: bytes) -> None:
         on_arrival()
@@ -136,7 +136,7 @@
             on_events(splitter.events - known_events)
         if splitter.overflowed:
             answer.abort()
-        if whole and not caller.gone:
+        if whole and not caller.is_disconnected:
             if not request.history.begun:
                 _begin_answer(request, dialect)
             caller.write(whole)
@@ -148,11 +148,11 @@
             reason=end.reason or "ended within an event",
             connection_lost=True,
         )
-    if caller.gone:
+    if caller.is_disconnected:
         return None
     if not request.history.begun:
         _begin_answer(request, dialect)
-    caller.end()
+    caller.finish_stream()
     return None
 
 
@@ -163,5 +163,5 @@
     fields = dialect.write_answer_fields(request.endpoint_answer.headers)
     # A caller that reads slowly pauses the endpoint instead of filling the
     # memory of this process.
-    request.caller.pace(request.endpoint_answer.producer)
-    request.caller.begin(request.endpoint_answer.status, fields, None)
+    request.caller.set_producer(request.endpoint_answer.producer)
+    request.caller.set_head(request.endpoint_answer.status, fields, None)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/forwarder.py
@@ -26,7 +26,7 @@
 from bulrushgrade_daemon import endpointcalls
 from bulrushgrade_daemon import endpointchooser
 from bulrushgrade_daemon import enginework
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import inflight
 from bulrushgrade_daemon import outbound
 from bulrushgrade_daemon import requestadmission
@@ -146,7 +146,7 @@
         """Returns the number of open requests and the counts."""
         return {"open": self.open_requests, "counts": self.counts}
 
-    def handle(self, caller: front.CallerRequest) -> None:
+    def handle(self, caller: frontend.CallerRequest) -> None:
         """Serves a request that has been read completely."""
         try:
             request = self._admission.admit(caller)
@@ -164,7 +164,7 @@
         )
         if request not in self._open:
             return
-        caller.on_gone = running.cancel
+        caller.on_disconnect = running.cancel
 
         def expire() -> None:
             request.expired = True
@@ -184,7 +184,7 @@
         except Exception:
             self._end_with_internal_error(request.caller, request)
         finally:
-            request.caller.on_gone = None
+            request.caller.on_disconnect = None
             self._open.discard(request)
 
     async def _try_until_answered(self, request: inflight.InFlight) -> None:
@@ -381,7 +381,7 @@
         self._log.log_ended(request, step, reason)
         caller = request.caller
         if step is attempts.NextStep.CUT:
-            caller.cut()
+            caller.abort_connection()
         elif step is attempts.NextStep.RELAY and ended and ended.failure:
             failure = ended.failure
             caller.answer(failure.status, failure.fields, failure.body)
@@ -392,18 +392,18 @@
 
     def _end_cancelled(self, request: inflight.InFlight) -> None:
         """Ends a request whose caller disconnected or whose deadline passed."""
-        if request.caller.gone:
+        if request.caller.is_disconnected:
             self._count("ended_caller_left")
             return
         self._count("ended_timeout")
         self._log.log_timed_out(request)
         if request.history.begun:
-            request.caller.cut()
+            request.caller.abort_connection()
         else:
             request.caller.answer(http.GATEWAY_TIMEOUT, [], b"")
 
     def _end_with_internal_error(
-        self, caller: front.CallerRequest, request: inflight.InFlight | None
+        self, caller: frontend.CallerRequest, request: inflight.InFlight | None
     ) -> None:
         """Ends a request whose task raised an unexpected exception.
 
@@ -414,7 +414,7 @@
         self._count("ended_broken")
         self._log.log_broken(request, traceback.format_exc())
         if request is not None and request.history.begun:
-            caller.cut()
+            caller.abort_connection()
         else:
             caller.answer(http.BAD_GATEWAY, [], b"")
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -26,7 +26,7 @@
 from bulrushgrade_daemon import fencedactions
 from bulrushgrade_daemon import follower
 from bulrushgrade_daemon import forwarder
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import gatewaymessages
 from bulrushgrade_daemon import gatewaysettings
 from bulrushgrade_daemon import loadgossip
@@ -158,7 +158,7 @@
             self._follow_peers,
             self._cache_watch,
             self._forwarder,
-            self._front,
+            self._frontend,
         ):
             context.kernel.register(service)
 
@@ -203,9 +203,9 @@
         return self._forwarder
 
     @property
-    def front(self) -> front.Front:
+    def frontend(self) -> frontend.Frontend:
         """The HTTP server for callers."""
-        return self._front
+        return self._frontend
 
     @property
     def crashes(self) -> crashwatch.CrashWatch:
@@ -360,7 +360,7 @@
             observe_latency=self._observe_answer,
             record_run_start=lambda w, at: self._tasks.record_run_start(w, at),
         )
-        self._front = front.Front(
+        self._frontend = frontend.Frontend(
             reactor=context.reactor,
             host=listen.callers.host,
             port=listen.callers.port,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/placing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/placementservice.py
@@ -1,7 +1,7 @@
 """The service that owns the scheduler of this host.
 
-Others ask it for a place and tell it how requests go on; it asks the
-scheduler again whenever something may have become free.
+Other services ask it which endpoint a request goes to and report the progress
+of requests. It polls the scheduler whenever capacity may have become free.
 """
 
 from collections.abc import Callable
@@ -16,11 +16,11 @@
 from bulrushgrade import work as work_module
 from bulrushgrade_daemon import engine
 
-# Queued work is looked at again this often at the least, so that a request
-# whose deadline has become hopeless is told so at once.
+# Interval at which queued work is reconsidered at the latest, so that a request
+# that can't meet its deadline any more is refused at once.
 POLL_S = 0.05
 
-# How a placed request ended, as the scheduler calls it.
+# Outcomes of a placed request, in the scheduler's terms.
 COMPLETE = "complete"
 FAILED = "failed"
 
@@ -33,12 +33,12 @@
 
 
 @attrs.frozen(kw_only=True)
-class EngineSeen:
-    """An engine's report as it was read, or that it could not be read.
+class PollResult:
+    """The result of polling an engine for its load report.
 
     Attributes:
-        address: The engine.
-        load: Its report, or None where it did not answer.
+        address: The engine's address.
+        load: Its report, or None if it did not answer.
     """
 
     address: str
@@ -47,19 +47,19 @@
 
 @attrs.frozen(kw_only=True)
 class PeerLoads:
-    """What another host has in flight.
+    """The requests that another host has in flight.
 
     Attributes:
         peer: The host.
-        loads: One entry an endpoint.
+        loads: One entry per endpoint.
     """
 
     peer: str
     loads: tuple[work_module.PeerLoad, ...]
 
 
-class Placing:
-    """Places requests and keeps the scheduler's view of endpoints fresh."""
+class PlacementService:
+    """Places requests and keeps the scheduler's view of endpoints current."""
 
     name = "placing"
     requires = ("timer",)
@@ -75,62 +75,63 @@
 
         Args:
             timers: The timer service.
-            core: The decisions.
-            on_changed: Called with an engine's address when it takes work
-                no more or again.
+            core: The scheduler.
+            on_changed: Called with an engine's address when its reported
+                configuration changes, or when new work is blocked or allowed
+                again.
         """
         self._timers = timers
         self._core = core
         self._on_changed = on_changed
-        self._waiting: dict[str, defer.Deferred] = {}
+        self._queued: dict[str, defer.Deferred] = {}
         self._hosts: dict[str, membership.Host] = {}
         self._loads: dict[str, engine.EngineLoad] = {}
         self._endpoints: dict[str, work_module.Endpoint] = {}
-        self._held: set[str] = set()
+        self._blocked: set[str] = set()
         self._poll: Any = None
 
     @property
     def hosts(self) -> dict[str, membership.Host]:
-        """The endpoints on the host list, by address."""
+        """The endpoints in the host list, by address."""
         return self._hosts
 
     @property
     def loads(self) -> dict[str, engine.EngineLoad]:
-        """The last report of each engine, by address."""
+        """The latest report of each engine, by address."""
         return self._loads
 
     @property
     def endpoints(self) -> dict[str, work_module.Endpoint]:
-        """The endpoints as the scheduler was last told, by address."""
+        """The endpoints that were last passed to the scheduler, by address."""
         return self._endpoints
 
     @property
     def now(self) -> float:
-        """The time that decisions are made at, in seconds."""
+        """The current time, as used for decisions, in seconds."""
         return self._timers.now
 
     async def start(self) -> None:
-        """Begins to look at queued work again and again."""
-        self._poll = self._timers.every(POLL_S, self._settle)
+        """Starts to poll the scheduler periodically."""
+        self._poll = self._timers.every(POLL_S, self._resolve_queued)
 
     async def stop(self) -> None:
-        """Stops looking; nothing is queued any more by then."""
+        """Stops polling; nothing is queued any more by then."""
         self._poll.cancel()
 
     def receive(self, message: Any) -> None:
-        """Takes lists of hosts, engines' reports and peers' loads."""
+        """Applies host lists, engines' reports and peers' loads."""
         if isinstance(message, membership.HostList):
-            self._take_hosts(message.hosts)
-        elif isinstance(message, EngineSeen):
-            self._take_report(message)
+            self._apply_hosts(message.hosts)
+        elif isinstance(message, PollResult):
+            self._apply_poll_result(message)
         elif isinstance(message, PeerLoads):
             self._core.peer_load(message.peer, message.loads, self.now)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the scheduler's state and the last reports."""
+        """Returns the scheduler's state and the latest reports."""
         return {
-            "queued": len(self._waiting),
-            "held": sorted(self._held),
+            "queued": len(self._queued),
+            "held": sorted(self._blocked),
             "reports": {a: attrs.asdict(r) for a, r in self._loads.items()},
             "scheduler": self._core.dump(),
         }
@@ -138,23 +139,23 @@
     def set_policies(
         self, policies: Iterable[work_module.ServicePolicy]
     ) -> None:
-        """Puts the accepted documents' policies in force."""
+        """Passes the policies of the accepted documents to the scheduler."""
         self._core.set_policies(tuple(policies))
 
-    def hold(self, address: str, *, held: bool) -> None:
-        """Keeps new work from an engine, or no longer.
+    def block_new_work(self, address: str, *, blocked: bool) -> None:
+        """Blocks new work for an engine, or allows it again.
 
         Used before a planned change, so that nothing is sent to an engine
-        that is about to be away.
+        that is about to be unavailable.
         """
-        if held == (address in self._held):
+        if blocked == (address in self._blocked):
             return
-        (self._held.add if held else self._held.discard)(address)
+        (self._blocked.add if blocked else self._blocked.discard)(address)
         self._update_endpoints()
         self._on_changed(address)
 
     def in_flight(self, address: str) -> int:
-        """Returns how many requests of this host are at an endpoint."""
+        """Returns how many requests this host has running at an endpoint."""
         return sum(
             load.running
             for load in self._core.own_loads()
@@ -162,14 +163,14 @@
         )
 
     def own_loads(self) -> tuple[work_module.PeerLoad, ...]:
-        """Returns what this host has in flight, for its peers."""
+        """Returns the requests that this host has in flight, for its peers."""
         return tuple(self._core.own_loads())
 
     async def offer(
         self, work: work_module.Work
     ) -> work_module.Placed | work_module.Refused:
-        """Returns where a request goes, waiting while it is queued."""
-        return await self._decided(self._core.offer(work, self.now))
+        """Returns where a request goes; waits while the request is queued."""
+        return await self._await_decision(self._core.offer(work, self.now))
 
     async def retry(
         self,
@@ -183,11 +184,11 @@
 
         Args:
             request_id: The request.
-            failed_endpoint: Where the attempt was.
-            tokens_done: Tokens of the answer that the caller has.
-            started: False where the endpoint certainly did not start it.
+            failed_endpoint: The endpoint of the failed attempt.
+            tokens_done: Tokens of the answer that the caller already has.
+            started: False if the endpoint certainly did not start it.
         """
-        return await self._decided(
+        return await self._await_decision(
             self._core.retry(
                 request_id,
                 failed_endpoint,
@@ -198,16 +199,16 @@
         )
 
     def first_token(self, request_id: str) -> None:
-        """Notes that a request's first token came."""
+        """Records that the first token of an answer arrived."""
         self._core.first_token(request_id, self.now)
-        self._settle()
+        self._resolve_queued()
 
     def prefill_done(self, request_id: str) -> None:
-        """Notes that the prompt was read, before its KV cache moves."""
+        """Records that the prefill is done, before the KV cache is moved."""
         self._core.prefill_done(request_id, self.now)
 
     def tokens(self, request_id: str, count: int) -> None:
-        """Notes that an answer has so many tokens in all by now."""
+        """Records how many tokens of an answer have arrived in total."""
         self._core.tokens(request_id, count, self.now)
 
     def finished(
@@ -216,40 +217,41 @@
         outcome: str,
         cached_tokens: int | None = None,
     ) -> None:
-        """Notes that a request has ended; something may be free now.
+        """Records that a request has ended; this may free capacity.
 
         Args:
             request_id: The request.
             outcome: `COMPLETE` or `FAILED`.
-            cached_tokens: Prompt tokens that were cached, if the engine says.
+            cached_tokens: Prompt tokens that were cached, if the engine
+                reported them.
         """
         self._core.finished(request_id, outcome, self.now, cached_tokens)
-        self._settle()
+        self._resolve_queued()
 
     def cancel(self, request_id: str) -> None:
-        """Drops a request whose caller is gone, queued or running."""
+        """Drops a queued or running request whose caller disconnected."""
         self._core.cancel(request_id, self.now)
-        waiting = self._waiting.pop(request_id, None)
-        if waiting is not None:
-            waiting.cancel()
-        self._settle()
+        pending = self._queued.pop(request_id, None)
+        if pending is not None:
+            pending.cancel()
+        self._resolve_queued()
 
-    async def _decided(
+    async def _await_decision(
         self, decision: work_module.Decision
     ) -> work_module.Placed | work_module.Refused:
         if not isinstance(decision, work_module.Queued):
             return decision
-        waiting: defer.Deferred = defer.Deferred()
-        self._waiting[decision.request_id] = waiting
-        return await waiting
+        pending: defer.Deferred = defer.Deferred()
+        self._queued[decision.request_id] = pending
+        return await pending
 
-    def _settle(self) -> None:
+    def _resolve_queued(self) -> None:
         for decision in self._core.poll(self.now):
-            waiting = self._waiting.pop(decision.request_id, None)
-            if waiting is not None:
-                waiting.callback(decision)
+            pending = self._queued.pop(decision.request_id, None)
+            if pending is not None:
+                pending.callback(decision)
 
-    def _take_hosts(self, hosts: Iterable[membership.Host]) -> None:
+    def _apply_hosts(self, hosts: Iterable[membership.Host]) -> None:
         self._hosts = {
             h.address: h for h in hosts if h.kind is not membership.Kind.ENTRY
         }
@@ -257,22 +259,23 @@
             del self._loads[address]
         self._update_endpoints()
 
-    def _take_report(self, seen: EngineSeen) -> None:
-        if seen.address not in self._hosts:
+    def _apply_poll_result(self, result: PollResult) -> None:
+        if result.address not in self._hosts:
             return
-        before = self._loads.get(seen.address)
-        if seen.load is None:
-            # Silence says nothing about the engine's state: it may be busy,
-            # or the link to it cut. Ejection judges it by how requests go.
+        before = self._loads.get(result.address)
+        if result.load is None:
+            # A missing answer says nothing about the engine's state: it may be
+            # busy, or the link to it may be down. Ejection decides by the
+            # outcomes of requests instead.
             return
-        load = seen.load
-        self._loads[seen.address] = load
-        if before is None or _shape(before) != _shape(load):
+        load = result.load
+        self._loads[result.address] = load
+        if before is None or _configuration(before) != _configuration(load):
             self._update_endpoints()
-            self._on_changed(seen.address)
+            self._on_changed(result.address)
         self._core.report(
             work_module.LoadReport(
-                endpoint=seen.address,
+                endpoint=result.address,
                 running=load.running,
                 queued=load.queued,
                 prefill_backlog_tokens=int(load.prefill_backlog_tokens),
@@ -285,15 +288,15 @@
 
     def _update_endpoints(self) -> None:
         endpoints = tuple(
-            self._endpoint(host)
+            self._make_endpoint(host)
             for host in self._hosts.values()
             if host.kind is membership.Kind.PLAIN or host.address in self._loads
         )
         self._endpoints = {e.address: e for e in endpoints}
         self._core.set_endpoints(endpoints, self.now)
-        self._settle()
+        self._resolve_queued()
 
-    def _endpoint(self, host: membership.Host) -> work_module.Endpoint:
+    def _make_endpoint(self, host: membership.Host) -> work_module.Endpoint:
         load = self._loads.get(host.address)
         state = work_module.EndpointState.SERVING
         if load is not None:
@@ -302,7 +305,7 @@
             )
         if (
             host.state is not membership.ListedState.LIVE
-            or host.address in self._held
+            or host.address in self._blocked
         ):
             state = work_module.EndpointState.LEAVING
         if load is None:
@@ -324,5 +327,5 @@
         )
 
 
-def _shape(load: engine.EngineLoad) -> tuple[Any, ...]:
+def _configuration(load: engine.EngineLoad) -> tuple[Any, ...]:
     return (load.role, load.model, load.state, tuple(load.adapters))
