--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/crashsharing.py
@@ -57,7 +57,7 @@
     reader: topicreader.KeyedReader
     write: Callable[
         [Iterable[Record]],
-        Awaitable[Result[None, topicreader.StoreUnavailable]],
+        Awaitable[Result[None, topicreader.StoreAway]],
     ]
 
 
@@ -74,7 +74,7 @@
         ledger: crashledger.CrashLedger,
         write: Callable[
             [Iterable[Record]],
-            Awaitable[Result[None, topicreader.StoreUnavailable]],
+            Awaitable[Result[None, topicreader.StoreAway]],
         ],
         leads: Callable[[], bool],
         log: decisionlog.DecisionLog,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fencedactions.py
@@ -48,13 +48,11 @@
 
     read: Callable[
         [int],
-        Awaitable[
-            Result[tuple[int, tuple[bytes, ...]], topicreader.StoreUnavailable]
-        ],
+        Awaitable[Result[tuple[int, tuple[bytes, ...]], topicreader.StoreAway]],
     ]
     append: Callable[
         [bytes, int],
-        Awaitable[Result[int, Moved | topicreader.StoreUnavailable]],
+        Awaitable[Result[int, Moved | topicreader.StoreAway]],
     ]
 
 
@@ -180,7 +178,7 @@
 
     async def _append(
         self, record: orderrecords.OrderRecord
-    ) -> Result[int, Moved | topicreader.StoreUnavailable]:
+    ) -> Result[int, Moved | topicreader.StoreAway]:
         content = orderrecords.serialize(record)
         while True:
             appended = await self._topic.append(content, self._turn.end)
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/follower.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/follower.py
@@ -266,7 +266,7 @@
         return self._timers.now
 
     def _record_failure(
-        self, failure: topicreader.StoreUnavailable | topicreader.RecordsDropped
+        self, failure: topicreader.StoreAway | topicreader.RecordsDropped
     ) -> bool:
         if isinstance(failure, topicreader.RecordsDropped):
             self._log.note(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerlink.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerlink.py
@@ -51,7 +51,7 @@
 
     reader: topicreader.KeyedReader
     write: Callable[
-        [str, bytes], Awaitable[Result[None, topicreader.StoreUnavailable]]
+        [str, bytes], Awaitable[Result[None, topicreader.StoreAway]]
     ]
 
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/refusal.py
@@ -78,7 +78,7 @@
     return Refusal(
         status=504,
         code="deadline",
-        message="the answer could not be completed before the deadline",
+        message="the answer could not be had in time",
         ran=ran,
         retry_after_s=DEADLINE_RETRY_AFTER_S,
     )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/relay.py
@@ -373,7 +373,7 @@
     return refusal.Refusal(
         status=499,
         code="caller_gone",
-        message="the caller has disconnected",
+        message="the caller has left",
         ran=refusal.RunStatus.UNKNOWN,
     )
 
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/request.py
@@ -80,10 +80,10 @@
         or not 1 <= max_tokens <= MAX_MAX_TOKENS
     ):
         return _refuse(
-            f"'max_tokens' must be an integer from 1 to {MAX_MAX_TOKENS}"
+            f"'max_tokens' must be a whole number from 1 to {MAX_MAX_TOKENS}"
         )
     if body.get("n", 1) != 1:
-        return _refuse("'n' must be 1: a request has one answer")
+        return _refuse("'n' must be 1: one answer a request")
     fields = {k: v for k, v in body.items() if k not in RESERVED_FIELDS}
     fields["max_tokens"] = max_tokens
     return Success(
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/topicreader.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/topicreader.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class StoreUnavailable:
+class StoreAway:
     """A request to the store that got no usable response.
 
     Attributes:
@@ -74,8 +74,8 @@
             given seconds for the first one.
     """
 
-    read_all: Callable[[], Awaitable[Result[Listing, StoreUnavailable]]]
+    read_all: Callable[[], Awaitable[Result[Listing, StoreAway]]]
     read_after: Callable[
         [int, float],
-        Awaitable[Result[Batch, StoreUnavailable | RecordsDropped]],
+        Awaitable[Result[Batch, StoreAway | RecordsDropped]],
     ]
--- a/packages/bulrushgrade_daemon/tests/test_crashsharing.py
+++ b/packages/bulrushgrade_daemon/tests/test_crashsharing.py
@@ -13,7 +13,7 @@
 from bulrushgrade_daemon import crashwatch
 from bulrushgrade_daemon import topicreader
 
-AWAY = Failure(topicreader.StoreUnavailable(reason="silent"))
+AWAY = Failure(topicreader.StoreAway(reason="silent"))
 
 
 def make_crash(endpoint, *requests, zone="z1"):
--- a/packages/bulrushgrade_daemon/tests/test_fencedactions.py
+++ b/packages/bulrushgrade_daemon/tests/test_fencedactions.py
@@ -92,7 +92,7 @@
 
 
 def test_append_without_an_answer_sends_nothing():
-    away = Failure(topicreader.StoreUnavailable(reason="timeout"))
+    away = Failure(topicreader.StoreAway(reason="timeout"))
     scene = Scene(append=(away,))
     assert "timeout" in scene.perform().failure().reason
     assert scene.sent == []
--- a/packages/bulrushgrade_daemon/tests/test_follower.py
+++ b/packages/bulrushgrade_daemon/tests/test_follower.py
@@ -81,7 +81,7 @@
 
 
 def test_store_outage_is_logged_once_and_retried():
-    away = Failure(topicreader.StoreUnavailable(reason="timeout"))
+    away = Failure(topicreader.StoreAway(reason="timeout"))
     read_all = fakes.Answers(
         away, away, away, topicreader.Listing(records=(), end=0)
     )
--- a/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
+++ b/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
@@ -50,7 +50,7 @@
             if name in self.silent:
                 await timers.sleep(3600.0)
             if name in self.cut:
-                return Failure(topicreader.StoreUnavailable(reason="refused"))
+                return Failure(topicreader.StoreAway(reason="refused"))
             return Success(
                 topicreader.Batch(
                     records=tuple(self.records[offset:]),
--- a/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
+++ b/packages/bulrushgrade_daemon/tests/test_stagecontrol.py
@@ -145,7 +145,7 @@
     An order sent without a known offset could have the same number as another
     order.
     """
-    away = Failure(topicreader.StoreUnavailable(reason="timeout"))
+    away = Failure(topicreader.StoreAway(reason="timeout"))
     scene = Scene(append=away)
     scene.pump(5.0)
     assert scene.append.calls
