--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/authority.py
@@ -23,7 +23,7 @@
 from bulrushgrade_daemon import logwriter
 from bulrushgrade_daemon import mesh
 from bulrushgrade_daemon import orders
-from bulrushgrade_daemon import placing
+from bulrushgrade_daemon import placementservice
 from bulrushgrade_daemon import settings as settings_module
 from bulrushgrade_daemon import task
 
@@ -68,7 +68,7 @@
     timers: Any
     log: logclient.LogClient
     writer: logwriter.LogWriter
-    placement: placing.Placing
+    placement: placementservice.PlacementService
     host_mesh: mesh.Mesh
     orders: orders.OrderClient
     capacity: Callable[[str], tuple[float, float]]
@@ -140,7 +140,7 @@
     def receive(self, message: Any) -> None:
         """Handles engine reports, demands of peers and accepted documents."""
         now = self._parts.timers.now
-        if isinstance(message, placing.EngineSeen):
+        if isinstance(message, placementservice.PollResult):
             if message.load is not None:
                 for group in self._groups:
                     group.observe(message.address, message.load, now)
@@ -301,7 +301,7 @@
         # its report and its refusals keep work away at the cost of one more
         # attempt.
         held = held and self._parts.log.reachable
-        self._parts.placement.hold(address, held=held)
+        self._parts.placement.block_new_work(address, blocked=held)
 
     def _append(
         self, append: record.Append, failed: Callable[[str], None]
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/callers.py
@@ -1,4 +1,4 @@
-"""What callers meet: requests in, answers and refusals out."""
+"""The HTTP API for callers of an entry host, and its graceful stop."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,34 +20,36 @@
 from bulrushgrade_daemon import task
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
-# A host that can't decide yet or is full; another may do better at once.
+# Retry delay of a host that is not ready or full; another host may be able to
+# serve the request at once.
 NOT_READY_RETRY_S = 1.0
 DRAIN_CHECK_S = 0.05
 
 
 @attrs.frozen(kw_only=True)
-class Parts:
-    """The services that callers' requests go through.
+class Dependencies:
+    """The services that the HTTP API uses.
 
     Attributes:
         timers: The timer service.
-        relay: Carries model requests.
-        plain: Carries requests for plain services.
-        service_index: Returns the accepted documents, or None before the first.
-        ready: Returns None, or why this host can't serve yet.
-        on_broken: Called with the reason of a broken invariant.
+        relay: Runs model requests.
+        plain: Runs requests for plain services.
+        service_index: Returns the index of the accepted documents, or None
+            before the first one.
+        not_ready_reason: Returns why this host can't serve yet, or None.
+        on_broken: Called with a description of a broken invariant.
     """
 
     timers: Any
     relay: relay.Relay
     plain: plainrelay.PlainRelay
     service_index: Callable[[], serviceindex.ServiceIndex | None]
-    ready: Callable[[], str | None]
+    not_ready_reason: Callable[[], str | None]
     on_broken: Callable[[str], None]
 
 
 class Callers:
-    """The HTTP service for callers, and its graceful stop."""
+    """Serves callers' HTTP requests."""
 
     name = "callers"
     requires = ("timer", "relay", "plainrelay", "documents", "hostlist")
@@ -58,23 +60,23 @@
         reactor: Any,
         settings: settings_module.Settings,
         incarnation: str,
-        parts: Parts,
+        dependencies: Dependencies,
     ):
         """Makes the service.
 
         Args:
-            reactor: Where it listens.
+            reactor: The reactor that the server runs in.
             settings: The daemon's settings.
-            incarnation: Tells this run of the daemon from earlier ones.
-            parts: The services it uses.
+            incarnation: Distinguishes this run of the daemon from earlier ones.
+            dependencies: The services it uses.
         """
         self._reactor = reactor
         self._settings = settings
         self._limits = settings.limits
-        self._parts = parts
+        self._dependencies = dependencies
         self._job_builder = jobbuilder.JobBuilder(
-            timers=parts.timers,
-            service_index=parts.service_index,
+            timers=dependencies.timers,
+            service_index=dependencies.service_index,
             prefix=f"{settings.host.name}-{incarnation}",
         )
         self._open: set[str] = set()
@@ -86,22 +88,22 @@
 
     @property
     def address(self) -> str:
-        """Where callers reach this host, ``IP:PORT``."""
+        """The address that callers connect to, ``IP:PORT``."""
         host = self._port.getHost()
         return f"{host.host}:{host.port}"
 
     @property
     def counts(self) -> dict[str, int]:
-        """The counters, by name."""
+        """The counters by name."""
         return self._counts
 
     @property
     def open_requests(self) -> int:
-        """How many requests are open."""
+        """The number of open requests."""
         return len(self._open)
 
     async def start(self) -> None:
-        """Listens for callers."""
+        """Starts to listen for callers."""
         limits = self._limits
         bounds = site.Bounds(
             max_body_bytes=limits.max_body_bytes,
@@ -122,120 +124,127 @@
         )
 
     async def stop(self) -> None:
-        """Stops without cutting a request.
+        """Stops without interrupting a request.
 
-        The balancer goes on sending for a while after the host says that it
-        is not ready, so those requests are still served; then nothing new is
-        taken, and what is open is finished.
+        The load balancer continues to send requests for a while after the
+        host reports that it is not ready, so these are still served. Then the
+        host stops listening and finishes the open requests.
         """
         self._stopping = True
-        await self._parts.timers.sleep(self._limits.stop_grace_s)
+        await self._dependencies.timers.sleep(self._limits.stop_grace_s)
         await defer.maybeDeferred(self._port.stopListening)
-        give_up = self._parts.timers.now + self._limits.drain_limit_s
-        while self._open and self._parts.timers.now < give_up:
-            await self._parts.timers.sleep(DRAIN_CHECK_S)
+        give_up = self._dependencies.timers.now + self._limits.drain_limit_s
+        while self._open and self._dependencies.timers.now < give_up:
+            await self._dependencies.timers.sleep(DRAIN_CHECK_S)
 
     def receive(self, message: Any) -> None:
-        """Takes no messages."""
+        """Ignores messages; none are sent to this service."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the counters and whether the host is ready."""
+        """Returns the counters, the open requests and whether it is ready."""
         return {
             "address": self.address if self._port else None,
             "open": len(self._open),
             "stopping": self._stopping,
-            "not_ready": self._not_ready(),
+            "not_ready": self._not_ready_reason(),
             "counts": dict(self._counts),
         }
 
     def _app(self) -> klein.Klein:
         app = klein.Klein()
-        app.route("/healthz", methods=["GET"])(self._health)
-        app.route("/readyz", methods=["GET"])(self._readiness)
-        for path in (request_module.COMPLETIONS, request_module.CHAT):
-            app.route(path, methods=["POST"])(self._complete)
+        app.route("/healthz", methods=["GET"])(self._serve_health)
+        app.route("/readyz", methods=["GET"])(self._serve_readiness)
+        for path in (request_module.COMPLETIONS_PATH, request_module.CHAT_PATH):
+            app.route(path, methods=["POST"])(self._handle_completion)
         app.route(
             f"{jobbuilder.SERVICES_PREFIX}<path:rest>",
             methods=list(METHODS),
             merge_slashes=False,
-        )(self._call)
-        app.handle_errors(Exception)(self._no_such)
+        )(self._handle_plain_request)
+        app.handle_errors(Exception)(self._handle_error)
         return app
 
-    def _health(self, http_request: Any) -> bytes:
+    def _serve_health(self, http_request: Any) -> bytes:
         return b"ok\n"
 
-    def _readiness(self, http_request: Any) -> bytes:
-        reason = self._not_ready()
+    def _serve_readiness(self, http_request: Any) -> bytes:
+        reason = self._not_ready_reason()
         if reason is not None:
             http_request.setResponseCode(503)
         return f"{reason or 'ready'}\n".encode()
 
-    def _no_such(self, http_request: Any, failure: Any) -> bytes:
+    def _handle_error(self, http_request: Any, failure: Any) -> bytes:
         status = getattr(failure.value, "code", None)
         if not isinstance(status, int):
-            self._parts.on_broken(failure.getTraceback())
+            self._dependencies.on_broken(failure.getTraceback())
             status = 500
         refused = refusal.bad_request(
             "no such path or method", status=status, code="not_found"
         )
         return reply.refuse(http_request, refused)
 
-    def _not_ready(self) -> str | None:
-        return "stopping" if self._stopping else self._parts.ready()
+    def _not_ready_reason(self) -> str | None:
+        return (
+            "stopping"
+            if self._stopping
+            else self._dependencies.not_ready_reason()
+        )
 
-    def _complete(self, http_request: Any) -> Any:
+    def _handle_completion(self, http_request: Any) -> Any:
         self._counts["model"] += 1
-        job_or_refusal = self._admit() or self._job_builder.make_model_job(
-            http_request
+        job_or_refusal = (
+            self._check_admission()
+            or self._job_builder.make_model_job(http_request)
         )
         if isinstance(job_or_refusal, refusal.Refusal):
             self._counts["bad"] += 1
             return reply.refuse(http_request, job_or_refusal)
         job, answer = job_or_refusal
-        self._prepare(http_request, job)
-        answer.control(
-            timers=self._parts.timers,
+        self._set_headers(http_request, job)
+        answer.set_flow_control(
+            timers=self._dependencies.timers,
             stall_s=self._limits.stall_timeout_s,
-            leave=lambda: self._leave_stalled(job),
+            on_stall=lambda: self._cancel_stalled(job),
         )
 
         async def run() -> bytes:
-            return answer.finish(await self._parts.relay.run(job))
+            return answer.finish(await self._dependencies.relay.run(job))
 
-        return self._answer(
-            job.request_id, run(), lambda: self._parts.relay.leave(job)
+        return self._run_detached(
+            job.request_id, run(), lambda: self._dependencies.relay.cancel(job)
         )
 
-    def _call(self, http_request: Any, rest: str) -> Any:
+    def _handle_plain_request(self, http_request: Any, rest: str) -> Any:
         self._counts["plain"] += 1
-        job = self._admit() or self._job_builder.make_plain_job(http_request)
+        job = self._check_admission() or self._job_builder.make_plain_job(
+            http_request
+        )
         if isinstance(job, refusal.Refusal):
             self._counts["bad"] += 1
             return reply.refuse(http_request, job)
-        self._prepare(http_request, job)
+        self._set_headers(http_request, job)
 
         async def run() -> bytes:
-            outcome = await self._parts.plain.run(job)
+            outcome = await self._dependencies.plain.run(job)
             if isinstance(outcome, plain.PlainAnswer):
-                return reply.pass_answer(http_request, outcome)
+                return reply.forward_answer(http_request, outcome)
             return reply.refuse(http_request, outcome)
 
-        def leave() -> None:
-            job.gone = True
+        def on_disconnect() -> None:
+            job.caller_disconnected = True
 
-        return self._answer(job.request_id, run(), leave)
+        return self._run_detached(job.request_id, run(), on_disconnect)
 
-    def _answer(
-        self, request_id: str, work: Any, leave: Callable[[], None]
+    def _run_detached(
+        self, request_id: str, work: Any, on_disconnect: Callable[[], None]
     ) -> defer.Deferred:
-        """Runs the work of a request apart from the caller's connection.
+        """Runs the work of a request independently of the connection.
 
-        A caller that leaves must not cut the work in the middle of a step
-        whose outcome has to be noted, so the connection's end is told to the
-        work instead of cancelling it.
+        A caller that disconnects must not interrupt a step whose outcome has
+        to be recorded. So the work is not cancelled; `on_disconnect` is called
+        instead.
         """
-        answered: defer.Deferred = defer.Deferred(lambda _: leave())
+        answered: defer.Deferred = defer.Deferred(lambda _: on_disconnect())
         self._open.add(request_id)
 
         async def run() -> None:
@@ -246,25 +255,28 @@
             if not answered.called:
                 answered.callback(body)
 
-        task.spawn(run(), name=request_id, on_broken=self._parts.on_broken)
+        task.spawn(
+            run(), name=request_id, on_broken=self._dependencies.on_broken
+        )
         return answered
 
-    def _prepare(self, http_request: Any, job: Any) -> None:
+    def _set_headers(self, http_request: Any, job: Any) -> None:
         http_request.setHeader(jobbuilder.REQUEST_HEADER, job.caller_id)
         if self._stopping:
             http_request.setHeader("Connection", "close")
 
-    def _leave_stalled(self, job: relay.ModelJob) -> None:
+    def _cancel_stalled(self, job: relay.ModelJob) -> None:
         self._counts["stalled"] += 1
-        self._parts.relay.leave(job)
+        self._dependencies.relay.cancel(job)
 
-    def _admit(self) -> refusal.Refusal | None:
-        reason = self._parts.ready()
+    def _check_admission(self) -> refusal.Refusal | None:
+        reason = self._dependencies.not_ready_reason()
         if reason is not None:
             self._counts["not_ready"] += 1
             return refusal.not_ready(reason, NOT_READY_RETRY_S)
-        # Each open request holds buffers on both sides; without a bound a
-        # flood would end the process and cut them all.
+        # Each open request uses buffers on both sides. Without a limit, a
+        # flood of requests would exhaust the memory, and the end of the
+        # process would interrupt them all.
         if len(self._open) >= self._limits.max_open_requests:
             return refusal.Refusal(
                 status=503,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerqueries.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/peerqueries.py
@@ -1,4 +1,4 @@
-"""Questions to peers that are answered within a limit, or not at all."""
+"""Queries to peers with a time limit for their replies."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -9,12 +9,12 @@
 
 from bulrushgrade_daemon import gatewaymessages
 
-REPLY_LIMIT_S = 0.03
-"""How long replies are waited for. Within a region they take 1 to 5 ms; a
-daemon that is slower, or gone, is not worth more than a tenth of the reading
-of a usual long prompt, and the periodic messages of peers are used instead."""
+REPLY_TIMEOUT_S = 0.03
+"""Time limit for replies. Within a region they take 1 to 5 ms. Waiting for a
+slow or absent daemon is not worth more than a tenth of the prefill time of a
+usual long prompt; the periodic messages of peers are used instead."""
 
-Question = (
+Query = (
     gatewaymessages.WaitQuery
     | gatewaymessages.HolderQuery
     | gatewaymessages.RecordQuery
@@ -24,19 +24,19 @@
     | gatewaymessages.HolderReply
     | gatewaymessages.RecordReply
 )
-MakeQuery = Callable[[int], Question]
-"""Returns a question with its number."""
+MakeQuery = Callable[[int], Query]
+"""Makes a query with the given number."""
 
 
-class _Open:
-    """Questions of one moment whose replies are still coming."""
+class _PendingQuery:
+    """Queries sent together, with the replies received so far."""
 
     def __init__(self):
         self.missing: set[str] = set()
         self.replies: list[Reply] = []
         self.done: defer.Deferred = defer.Deferred()
 
-    def take(self, reply: Reply) -> None:
+    def add(self, reply: Reply) -> None:
         if reply.peer in self.missing:
             self.missing.discard(reply.peer)
             self.replies.append(reply)
@@ -49,67 +49,67 @@
 
 
 class PeerQueries:
-    """Asks peers and waits for what they reply."""
+    """Sends queries to peers and collects their replies."""
 
     def __init__(
         self,
         *,
         timers: Any,
         send: Callable[[str, gatewaymessages.Message], bool],
-        limit_s: float = REPLY_LIMIT_S,
+        timeout_s: float = REPLY_TIMEOUT_S,
     ):
-        """Makes a state without queries.
+        """Makes an instance without queries.
 
         Args:
             timers: The timer service.
-            send: Sends a message to a peer; returns whether it is known
-                where that is.
-            limit_s: How long replies are waited for.
+            send: Sends a message to a peer; returns whether its address is
+                known.
+            timeout_s: How long to wait for replies.
         """
         self._timers = timers
         self._send = send
-        self._limit_s = limit_s
-        self._open: dict[int, _Open] = {}
+        self._timeout_s = timeout_s
+        self._pending: dict[int, _PendingQuery] = {}
         self._numbers = itertools.count(1)
         self._counts = {"queries": 0, "late_replies": 0}
 
     @property
     def counts(self) -> dict[str, int]:
-        """Rounds of queries, and those without all replies in time."""
+        """Rounds of queries, and rounds that timed out."""
         return dict(self._counts)
 
     async def query(self, queries: Mapping[str, MakeQuery]) -> list[Reply]:
-        """Returns the replies that came within the limit.
+        """Sends queries and returns the replies that came in time.
 
         Args:
-            queries: One a peer.
+            queries: One per peer.
         """
         number = next(self._numbers)
-        opened = self._open[number] = _Open()
-        limit = None
+        pending = self._pending[number] = _PendingQuery()
+        timer = None
         try:
-            opened.missing = set(queries)
-            for peer, make in queries.items():
-                if not self._send(peer, make(number)):
-                    opened.missing.discard(peer)
-            if opened.missing:
+            pending.missing = set(queries)
+            for peer, make_query in queries.items():
+                if not self._send(peer, make_query(number)):
+                    pending.missing.discard(peer)
+            if pending.missing:
                 self._counts["queries"] += 1
-                limit = self._timers.after(
-                    self._limit_s, lambda: self._give_up(opened)
+                timer = self._timers.after(
+                    self._timeout_s, lambda: self._time_out(pending)
                 )
-                await opened.done
-            return opened.replies
+                await pending.done
+            return pending.replies
         finally:
-            if limit is not None:
-                limit.cancel()
-            del self._open[number]
+            if timer is not None:
+                timer.cancel()
+            del self._pending[number]
 
-    def take(self, reply: Reply) -> None:
-        """Takes a reply; one that comes too late says nothing any more."""
-        opened = self._open.get(reply.number)
-        if opened is not None:
-            opened.take(reply)
+    def handle_reply(self, reply: Reply) -> None:
+        """Handles a reply; one that comes too late is ignored."""
+        pending = self._pending.get(reply.number)
+        if pending is not None:
+            pending.add(reply)
 
-    def _give_up(self, opened: _Open) -> None:
+    def _time_out(self, pending: _PendingQuery) -> None:
         self._counts["late_replies"] += 1
-        opened.finish()
+        pending.finish()
--- a/packages/bulrushgrade_daemon/tests/callerload.py
+++ b/packages/bulrushgrade_daemon/tests/callerload.py
@@ -1,4 +1,4 @@
-"""Callers that go on asking, for tests under load."""
+"""Callers that send requests continuously, for tests under load."""
 
 import itertools
 import threading
@@ -9,10 +9,10 @@
 
 
 class Load:
-    """Callers that go on asking until they are stopped.
+    """Callers that send requests until the end of the ``with`` block.
 
-    Each takes a daemon that says it is ready, as the platform's balancer
-    would, with a connection of its own for every request.
+    Each request goes to a daemon that reports that it is ready, as the
+    platform's load balancer would choose it, on a new connection.
     """
 
     def __init__(
@@ -28,14 +28,14 @@
         self._name = name
         self._numbers = itertools.count()
         self._stopping = threading.Event()
-        self._answers: list[scene.Streamed] = []
+        self._answers: list[scene.StreamedAnswer] = []
         self._threads = [
             threading.Thread(target=self._ask) for _ in range(callers)
         ]
 
     @property
-    def answers(self) -> list[scene.Streamed]:
-        """What has been answered so far."""
+    def answers(self) -> list[scene.StreamedAnswer]:
+        """The answers so far."""
         return list(self._answers)
 
     def __enter__(self) -> "Load":
@@ -49,7 +49,7 @@
             thread.join(processes.LIMIT_S)
 
     def wait_answers(self, more: int) -> None:
-        """Waits until so many more requests have been answered."""
+        """Waits until the given number of further requests is answered."""
         wanted = len(self._answers) + more
         processes.wait_for(lambda: len(self._answers) >= wanted)
 
--- a/packages/bulrushgrade_daemon/tests/test_loadcodec.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadcodec.py
@@ -1,4 +1,4 @@
-"""Tests of loads and changes of caches in messages."""
+"""Tests of the encoding of loads and cache changes in messages."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -23,7 +23,7 @@
 
 
 @given(SHARES)
-def test_shares_come_back_as_they_were(shares):
+def test_shares_round_trip(shares):
     message = gatewaymessages.FleetLoad(
         peer="h1/1",
         number=1,
@@ -34,7 +34,7 @@
     assert loadcodec.decode_shares(parsed.engines) == shares
 
 
-def test_changes_come_by_engine():
+def test_changes_are_grouped_by_engine():
     found = loadcodec.decode_changes({"e1": [("a", 5), ("b", 0)]})
     a = enginecache.CacheChange(part="a", tokens=5)
     b = enginecache.CacheChange(part="b", tokens=0)
@@ -44,7 +44,7 @@
 def test_a_message_fits_a_datagram_however_many_engines_there_are():
     """A deployment has thousands of engines, all of them busy.
 
-    A datagram that is too long can't be sent: the gateway ended with it.
+    A datagram above the size limit can't be sent; the error ended the gateway.
     """
     shares = {
         f"i-{number:010x}": peerloads.EngineShare(
@@ -55,7 +55,7 @@
         for number in range(5000)
     }
     engines = loadcodec.encode_shares(shares)
-    assert len(engines) == loadcodec.MOST_ENGINES
+    assert len(engines) == loadcodec.MAX_ENGINES
     assert "i-0000001387" in engines
     message = gatewaymessages.GroupLoad(peer="h1/1", number=1, engines=engines)
     assert len(gatewaymessages.serialize(message)) < 65_000
--- a/packages/bulrushgrade_daemon/tests/test_peerqueries.py
+++ b/packages/bulrushgrade_daemon/tests/test_peerqueries.py
@@ -8,7 +8,7 @@
 
 
 class Peers:
-    """Some peers that reply on command."""
+    """Peers that reply when a test tells them to."""
 
     def __init__(self, *known):
         self.reactor, self.timers, _ = fakes.make_timers()
@@ -36,7 +36,7 @@
         return pending
 
     def reply(self, peer, *, number=None):
-        self.queries.take(
+        self.queries.handle_reply(
             gatewaymessages.WaitReply(
                 peer=peer, number=number or self.numbers[peer], waits_ms={}
             )
@@ -58,15 +58,15 @@
     assert peers.queries.counts == {"queries": 1, "late_replies": 0}
 
 
-def test_a_peer_that_does_not_reply_holds_nobody_up():
-    # A host is cut off or paused. Each long prompt whose engines it owns would
-    # wait for its reply; it waits for the limit, and goes on with the others'.
+def test_a_silent_peer_delays_a_query_only_until_the_timeout():
+    # A host is partitioned or paused. Long prompts query it for the queues that
+    # it owns; they wait until the timeout and use the other replies.
     peers = Peers("h1", "h2")
     pending = peers.query("h1", "h2")
     peers.reply("h1")
-    peers.reactor.advance(peerqueries.REPLY_LIMIT_S / 2)
+    peers.reactor.advance(peerqueries.REPLY_TIMEOUT_S / 2)
     assert not pending.called
-    peers.reactor.advance(peerqueries.REPLY_LIMIT_S)
+    peers.reactor.advance(peerqueries.REPLY_TIMEOUT_S)
     assert peers.replied() == ["h1"]
     assert peers.queries.counts == {"queries": 1, "late_replies": 1}
 
@@ -80,15 +80,15 @@
     assert peers.replied() == ["h1"]
 
 
-def test_nobody_to_query_is_no_query():
+def test_an_empty_query_is_not_counted():
     peers = Peers("h1")
     assert peers.query().called
     assert peers.queries.counts["queries"] == 0
 
 
-def test_a_reply_to_an_earlier_query_says_nothing():
-    # The reply to a query that was given up arrives while the next one is
-    # open. What it says is old.
+def test_a_reply_to_an_earlier_query_is_ignored():
+    # The reply to a query that timed out arrives during the next one, and is
+    # outdated.
     peers = Peers("h1")
     peers.query("h1")
     first = peers.numbers["h1"]
@@ -100,7 +100,7 @@
     assert pending.called
 
 
-def test_a_caller_that_leaves_takes_its_query_along():
+def test_a_cancelled_query_is_dropped():
     peers = Peers("h1")
     pending = peers.query("h1")
     pending.addErrback(lambda failure: failure.trap(defer.CancelledError))
--- a/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
+++ b/packages/bulrushgrade_daemon/tests/test_sharedtopic.py
@@ -1,8 +1,8 @@
-"""Tests of hosts that hand a topic's records on.
+"""Tests of hosts that relay a topic's records.
 
-Each plays a zone of hosts that follow one topic of a store. The promise is
-that of a host which reads by itself: a record is known everywhere within the
-age that a view may have, whatever becomes of the host that reads.
+Each simulates a zone of hosts that follow one topic of a store. The guarantee
+is that of a host which reads the store itself: a record is known everywhere
+within the greatest age of a view, whatever happens to the source.
 """
 
 import fakes
@@ -19,13 +19,13 @@
 VIEW_S = 1.8
 STEP_S = 0.05
 READ_S = 0.02
-KNOWN_WITHIN_S = VIEW_S + sharedtopic.REPLY_LIMIT_S + 3 * STEP_S
-"""The age that a view may have, the reply that is waited for, and the steps
-of the clock, in one of which the store answers."""
+KNOWN_WITHIN_S = VIEW_S + sharedtopic.REPLY_TIMEOUT_S + 3 * STEP_S
+"""The greatest age of a view, the time limit of a reply, and some clock steps,
+within one of which the store responds."""
 
 
 class Store:
-    """A topic, and the hosts that can't reach it."""
+    """A topic of the store, with hosts that can't reach it."""
 
     def __init__(self):
         self.records = []
@@ -62,7 +62,7 @@
 
 
 class Host:
-    """One host: its follower and what it has been told."""
+    """One host with its follower and the records that it knows."""
 
     def __init__(self, *, name, zone):
         self.name = name
@@ -74,8 +74,8 @@
         self.shared = sharedtopic.SharedTopic(
             topic="t",
             own_name=name,
-            view_s=VIEW_S,
-            read_essence=lambda record: topicjournal.Essence(
+            max_age_s=VIEW_S,
+            extract_state=lambda record: topicjournal.RecordState(
                 content=record.value
             ),
             rank_hosts=lambda key: zone.ranked_by.get(name, zone.ranked),
@@ -108,11 +108,11 @@
             return
         kind = type(message).__name__
         if kind == "RecordQuery":
-            self.shared.take_query(message)
+            self.shared.handle_query(message)
         elif kind == "RecordReply":
-            self.shared.take_reply(message)
+            self.shared.handle_reply(message)
         else:
-            self.shared.take_notice(message)
+            self.shared.handle_notice(message)
 
 
 class Zone:
@@ -144,7 +144,7 @@
         self.reactor.pump([STEP_S] * round(seconds / STEP_S))
 
     def known_after(self, key, *, without=()):
-        """Appends a record; returns when the last host knows it."""
+        """Appends a record; returns the seconds until all hosts know it."""
         began = self.timers.now
         self.store.append(key)
         self.run(4 * VIEW_S)
@@ -161,28 +161,31 @@
     before = zone.store.reads
     zone.run(10 * VIEW_S)
     reads = zone.store.reads - before
-    assert reads <= 10 / sharedtopic.SOURCE_PACE + 1
+    assert reads <= 10 / sharedtopic.SOURCE_INTERVAL_FACTOR + 1
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_a_lone_host_reads_at_its_own_pace():
+def test_a_single_host_reads_at_its_own_interval():
     zone = Zone(count=1)
     zone.run(10.5 * VIEW_S)
     assert zone.store.reads == 10
 
 
-def test_a_record_is_told_at_once():
+def test_a_record_is_announced_at_once():
     zone = Zone()
     zone.run(3 * VIEW_S)
     read_by = zone.known_after("e", without=set(zone.ranked[1:]))
-    assert zone.known_after("f") <= read_by + VIEW_S * sharedtopic.SOURCE_PACE
+    assert (
+        zone.known_after("f")
+        <= read_by + VIEW_S * sharedtopic.SOURCE_INTERVAL_FACTOR
+    )
 
 
-def test_the_host_that_reads_is_killed():
-    """The host that reads for its zone dies; an endpoint leaves right then.
+def test_the_source_is_killed():
+    """The source is killed, and an endpoint leaves at the same time.
 
-    Nobody replies to the others, who go on sending requests there until the
-    death shows, seconds later.
+    The other hosts get no replies and would send requests to that endpoint
+    until they notice the failure of the source, seconds later.
     """
     zone = Zone()
     zone.run(3 * VIEW_S)
@@ -190,19 +193,19 @@
     assert zone.known_after("e", without={"h1"}) <= KNOWN_WITHIN_S
 
 
-def test_the_host_that_reads_is_cut_off_from_its_zone():
-    """It still reads, and all others are in touch with the store."""
+def test_the_source_is_cut_off_from_its_zone():
+    """The source still reads the store, and so can all other hosts."""
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.lost.add("h1")
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_the_host_that_reads_is_paused_and_wakes():
-    """It is paused for seconds and then replies to all that has come.
+def test_the_source_is_paused_and_resumes():
+    """The source is paused for seconds and then replies to queued queries.
 
-    Its replies tell of the time before the pause. Taken for fresh they would
-    hide what happened meanwhile from the whole zone.
+    Its replies describe the time before the pause. Taken for fresh, they would
+    hide what happened since from the whole zone.
     """
     zone = Zone()
     zone.run(3 * VIEW_S)
@@ -221,11 +224,11 @@
         assert zone.hosts[name].known["e"] - began <= KNOWN_WITHIN_S
 
 
-def test_the_host_that_reads_is_cut_off_from_the_store():
-    """Only its way to the store is cut: it hears and answers everybody.
+def test_the_source_is_cut_off_from_the_store():
+    """The source can't reach the store but replies to all hosts.
 
-    What it hands on gets older, and to the others it would look as if no
-    endpoint left any more.
+    Its records get older, and to the others it would look as if no endpoint
+    left any more.
     """
     zone = Zone()
     zone.run(3 * VIEW_S)
@@ -233,34 +236,34 @@
     assert zone.known_after("e", without={"h1"}) <= KNOWN_WITHIN_S
 
 
-def test_the_store_goes_silent_in_a_read_of_the_host_that_reads():
+def test_the_store_stops_responding_to_the_source():
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.store.silent.add("h1")
     assert zone.known_after("e", without={"h1"}) <= KNOWN_WITHIN_S
 
 
-def test_a_host_that_is_cut_off_from_the_store_alone_is_told_by_others():
+def test_a_host_cut_off_from_the_store_gets_relayed_records():
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.store.cut.add("h3")
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_a_reader_cut_off_from_the_store_is_told_by_others():
-    """The first host can't read, so it queries the others in its turn."""
+def test_a_source_cut_off_from_the_store_queries_the_others():
+    """The first host can't read the store, so it queries the others."""
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.store.cut.add("h1")
     zone.run(2 * VIEW_S)
     assert zone.known_after("e") <= KNOWN_WITHIN_S
-    assert not zone.hosts["h1"].follower.reaches
+    assert not zone.hosts["h1"].follower.reaches_store
 
 
 def test_after_some_failures_the_next_host_reads():
-    """The first host stays silent for long and still counts as there.
+    """The first host sends nothing for long but still counts as present.
 
-    Were it queried for ever, each other host would read the store by itself.
+    If it were queried forever, every other host would read the store itself.
     """
     zone = Zone(count=20)
     zone.run(3 * VIEW_S)
@@ -272,8 +275,8 @@
     assert zone.store.reads - before <= everybody / 2
 
 
-def test_replies_that_are_held_up_do_not_pass_for_fresh():
-    """A slow path delays every datagram; the age counts from the query."""
+def test_delayed_replies_are_not_taken_for_fresh():
+    """A slow network delays every datagram; ages count from the query."""
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.delay_s = 0.06
@@ -290,29 +293,29 @@
     zone.run(2 * VIEW_S)
     zone.store.cut.add("h4")
     zone.run(2 * VIEW_S)
-    assert not zone.hosts["h4"].follower.reaches
+    assert not zone.hosts["h4"].follower.reaches_store
     zone.store.cut.clear()
     zone.run(2 * VIEW_S)
-    assert zone.hosts["h4"].follower.reaches
+    assert zone.hosts["h4"].follower.reaches_store
 
 
-def test_the_return_of_the_store_is_handed_on():
-    """The store was away for the host that reads, too short for the others.
+def test_the_return_of_the_store_is_relayed():
+    """Only the source notices a short outage of the store.
 
-    Endpoints whose records lapsed meanwhile are there; without the time of
-    the return the others would take them for gone.
+    Endpoints whose records expired meanwhile are alive. Without the time at
+    which the source regained the store, the others would take them for gone.
     """
     zone = Zone()
     zone.run(3 * VIEW_S)
     zone.store.cut.add("h1")
-    while zone.hosts["h1"].follower.reaches:
+    while zone.hosts["h1"].follower.reaches_store:
         zone.run(STEP_S)
     zone.store.cut.clear()
     zone.run(6 * VIEW_S)
     regained_at = zone.hosts["h1"].follower.regained_at
     assert regained_at is not None
-    told = zone.hosts["h2"].follower.regained_at
-    assert told == pytest.approx(regained_at, abs=0.2)
+    relayed_at = zone.hosts["h2"].follower.regained_at
+    assert relayed_at == pytest.approx(regained_at, abs=0.2)
 
 
 def test_records_far_behind_come_from_the_store():
@@ -323,11 +326,11 @@
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_who_is_queried_reads_though_it_is_not_the_first():
-    """Most hosts do not hear the first one and query the second.
+def test_a_queried_host_reads_although_it_is_not_the_first():
+    """Most hosts don't see the first host and query the second one.
 
-    The second got its records from the first, mostly too old to be handed on
-    once more: each of the others read the store by itself.
+    The second one got its records from the first, mostly too old to be relayed
+    again, so that each of the others read the store itself.
     """
     zone = Zone(count=20)
     first, second, *others = zone.ranked
@@ -338,15 +341,15 @@
     periods = 10
     zone.run(periods * VIEW_S)
     reads = zone.store.reads - before
-    assert reads <= 2 * periods / sharedtopic.SOURCE_PACE
+    assert reads <= 2 * periods / sharedtopic.SOURCE_INTERVAL_FACTOR
     assert zone.known_after("e") <= KNOWN_WITHIN_S
 
 
-def test_a_reply_that_waited_for_a_paused_host_is_old():
+def test_the_age_of_a_reply_counts_from_the_query():
     """A host is paused between its query and the reply.
 
-    It wakes seconds later and takes the reply before its timers run. Counted
-    from then, what the reply tells would look as if it were of that moment.
+    When it resumes, it handles the reply before its timers run. If the age
+    counted from then, old records would look fresh.
     """
     zone = Zone(count=2)
     zone.run(3 * VIEW_S)
@@ -358,7 +361,7 @@
     pending.addCallback(taken.append)
     queried_at, paused_s = zone.timers.now, 0.5 * VIEW_S
     zone.reactor.rightNow += paused_s
-    shared.take_reply(
+    shared.handle_reply(
         gatewaymessages.RecordReply(
             peer="h1",
             number=sent[0].number,
@@ -369,5 +372,5 @@
             age_ms=0,
         )
     )
-    (handed,) = taken
-    assert handed.as_of == pytest.approx(queried_at)
+    (relayed,) = taken
+    assert relayed.as_of == pytest.approx(queried_at)
--- a/packages/bulrushgrade_daemon/tests/test_topicjournal.py
+++ b/packages/bulrushgrade_daemon/tests/test_topicjournal.py
@@ -1,4 +1,4 @@
-"""Tests of what a host keeps of a topic to hand it on."""
+"""Tests of the buffer of records for relaying a topic."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,43 +11,46 @@
 
 
 def record(offset, key, state, count=0):
-    """Returns a record whose value holds what it says and its counter."""
+    """Returns a record whose value holds a state and a counter."""
     value = None if state is None else f"{state} {count}".encode()
     return topicreader.KeyedRecord(key=key, value=value, offset=offset)
 
 
-def read_essence(found):
+def extract_state(found):
     state, count = found.value.split()
-    return topicjournal.Essence(content=state, order=(int(count),))
+    return topicjournal.RecordState(content=state, order=(int(count),))
 
 
 def make(*records, begin=0):
-    journal = topicjournal.TopicJournal(read_essence=read_essence)
+    journal = topicjournal.TopicJournal(extract_state=extract_state)
     journal.restart(topicreader.Listing(records=(), end=begin))
     journal.extend(records, begin + len(records))
     return journal
 
 
-def handed(journal, offset, max_bytes=ROOM):
+def read_relayed(journal, offset, max_bytes=ROOM):
     extract = journal.read_after(offset, max_bytes=max_bytes)
     return [(r.key, r.value) for r in extract.records], extract.end
 
 
-def test_heartbeats_are_not_handed_on():
+def test_heartbeats_are_not_relayed():
     journal = make(
         record(0, "a", "ready", 1),
         record(1, "a", "ready", 2),
         record(2, "b", "ready", 1),
         record(3, "a", "ready", 3),
     )
-    assert handed(journal, 0) == ([("a", b"ready 1"), ("b", b"ready 1")], 4)
-    assert handed(journal, 3) == ([], 4)
+    assert read_relayed(journal, 0) == (
+        [("a", b"ready 1"), ("b", b"ready 1")],
+        4,
+    )
+    assert read_relayed(journal, 3) == ([], 4)
 
 
 def test_records_with_secrets_are_announced_and_not_kept():
-    """Guards against callers' keys in what hosts hand on."""
+    """Guards against callers' keys in relayed records."""
     journal = topicjournal.TopicJournal(
-        read_essence=read_essence, keeps_records=False
+        extract_state=extract_state, keeps_records=False
     )
     journal.restart(
         topicreader.Listing(records=(record(0, "a", "key", 1),), end=1)
@@ -59,33 +62,33 @@
     assert "secret" not in repr(vars(journal))
 
 
-def test_the_last_heartbeat_goes_ahead_of_what_changes():
-    """A late copy of a heartbeat is appended after its endpoint is gone.
+def test_the_last_heartbeat_is_relayed_before_a_change():
+    """A duplicate of a heartbeat is appended after its endpoint is gone.
 
-    Who had not seen that heartbeat would take the copy for a newer record,
-    and send requests to an endpoint that is not there.
+    A host that had not seen the heartbeat would take the duplicate for a newer
+    record, and send requests to a missing endpoint.
     """
     journal = make(
         record(0, "a", "ready", 1),
         record(1, "a", "ready", 2),
         record(2, "a", None),
     )
-    assert handed(journal, 1) == ([("a", b"ready 2"), ("a", None)], 3)
+    assert read_relayed(journal, 1) == ([("a", b"ready 2"), ("a", None)], 3)
 
 
-def test_a_record_that_comes_back_is_news():
+def test_a_record_that_returns_after_its_deletion_is_relayed():
     journal = make(
         record(0, "a", "ready", 1),
         record(1, "a", None),
         record(2, "a", "ready", 2),
     )
-    assert handed(journal, 1) == ([("a", None), ("a", b"ready 2")], 3)
+    assert read_relayed(journal, 1) == ([("a", None), ("a", b"ready 2")], 3)
 
 
-def test_what_lies_before_the_journal_is_not_guessed():
-    """A host is further behind than the journal of the one that it queries.
+def test_a_read_before_the_journal_start_is_incomplete():
+    """A host queries for records from before the start of the journal.
 
-    An empty answer would look to it as if nothing had happened meanwhile.
+    It would take an empty reply for the absence of new records.
     """
     journal = make(begin=7)
     extract = journal.read_after(6, max_bytes=ROOM)
@@ -93,12 +96,12 @@
     assert extract.end == 6
 
 
-def test_nothing_is_known_before_the_first_read():
-    journal = topicjournal.TopicJournal(read_essence=read_essence)
+def test_a_read_before_the_first_load_is_incomplete():
+    journal = topicjournal.TopicJournal(extract_state=extract_state)
     assert journal.read_after(0, max_bytes=ROOM).has_more
 
 
-def test_what_does_not_fit_comes_next():
+def test_records_beyond_the_limit_come_in_the_next_read():
     records = [record(n, f"k{n}", "x" * 100) for n in range(10)]
     journal = make(*records)
     found, offset = [], 0
@@ -120,11 +123,11 @@
 
 
 def test_the_journal_is_bounded():
-    count = topicjournal.MOST_KEPT + 10
+    count = topicjournal.MAX_RECORDS + 10
     journal = make(*(record(n, f"k{n}", "new") for n in range(count)))
     assert journal.read_after(9, max_bytes=ROOM * ROOM).has_more
     extract = journal.read_after(10, max_bytes=ROOM * ROOM)
-    assert len(extract.records) == topicjournal.MOST_KEPT
+    assert len(extract.records) == topicjournal.MAX_RECORDS
 
 
 def registration(found):
@@ -167,8 +170,8 @@
         max_size=30,
     )
 )
-def test_who_is_handed_records_believes_the_same(steps):
-    """Records of any order, late copies among them, read in any batches."""
+def test_relayed_records_give_the_same_directory(steps):
+    """Records of any order, with duplicates, read in any batches."""
     journal = make()
     direct, indirect = (directory.Directory(leaving_use_s=1.0) for _ in "12")
     pending, offset = [], 0
