--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/__main__.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/__main__.py
@@ -57,7 +57,7 @@
         try:
             await self._daemon.kernel.start()
         except internet_error.CannotListenError as error:
-            self._on_broken(f"can't listen on an address: {error}")
+            self._on_broken(f"cannot listen on an address: {error}")
             return
         addresses = {
             "name": self._settings.host.name,
