--- a/examples/embed_admission.py
+++ b/examples/embed_admission.py
@@ -18,8 +18,8 @@
 
 def make_scheduler() -> scheduler.Scheduler:
     """Returns a scheduler that knows one service and one engine."""
-    made = scheduler.Scheduler(zone="gebze-a", rng=random.Random(1))
-    made.set_policies((work.ServicePolicy(service=SERVICE, share=1.0),))
+    instance = scheduler.Scheduler(zone="gebze-a", rng=random.Random(1))
+    instance.set_policies((work.ServicePolicy(service=SERVICE, share=1.0),))
     engine = work.Endpoint(
         address=ENGINE,
         zone="gebze-a",
@@ -28,19 +28,19 @@
         slots=2,
         kv_capacity_tokens=100_000,
     )
-    made.set_endpoints((engine,), 0.0)
-    return made
+    instance.set_endpoints((engine,), 0.0)
+    return instance
 
 
 def make_work(
-    request_id: str, *, output_tokens: int, limit_s: float
+    request_id: str, *, output_tokens: int, deadline_s: float
 ) -> work.Work:
     """Returns a request that arrives at 0 s.
 
     Args:
         request_id: Unique among open requests.
         output_tokens: The expected length of its answer.
-        limit_s: Seconds until the whole answer has to be there.
+        deadline_s: Seconds until the whole answer has to be there.
     """
     return work.Work(
         request_id=request_id,
@@ -48,7 +48,7 @@
         model=MODEL,
         prompt_tokens=400,
         output_tokens=output_tokens,
-        deadline=limit_s,
+        deadline=deadline_s,
     )
 
 
@@ -56,34 +56,34 @@
     """Returns a decision as a line for a person."""
     match decision:
         case work.Placed():
-            told = f"goes to {decision.endpoint}"
+            outcome = f"goes to {decision.endpoint}"
         case work.Queued():
-            told = "waits"
+            outcome = "waits"
         case work.Refused():
-            told = f"is refused ({decision.code}), nothing ran"
-    return f"{decision.request_id} {told}"
+            outcome = f"is refused ({decision.code}), nothing ran"
+    return f"{decision.request_id} {outcome}"
 
 
 def main() -> list[str]:
     """Offers five requests, ends one, and polls for what that frees."""
-    made = make_scheduler()
+    instance = make_scheduler()
     offers = [
-        make_work("grade-1", output_tokens=50, limit_s=30.0),
-        make_work("grade-2", output_tokens=50, limit_s=30.0),
-        make_work("grade-3", output_tokens=50, limit_s=30.0),
-        make_work("chat-1", output_tokens=50, limit_s=10.0),
+        make_work("grade-1", output_tokens=50, deadline_s=30.0),
+        make_work("grade-2", output_tokens=50, deadline_s=30.0),
+        make_work("grade-3", output_tokens=50, deadline_s=30.0),
+        make_work("chat-1", output_tokens=50, deadline_s=10.0),
         # Longer than any engine could generate in its time: told at once.
-        make_work("hopeless", output_tokens=9000, limit_s=2.0),
+        make_work("hopeless", output_tokens=9000, deadline_s=2.0),
     ]
-    lines = [describe(made.offer(item, 0.0)) for item in offers]
-    made.first_token("grade-1", 0.2)
-    made.tokens("grade-1", 50, 1.0)
-    made.finished("grade-1", "complete", 1.0)
+    lines = [describe(instance.offer(item, 0.0)) for item in offers]
+    instance.first_token("grade-1", 0.2)
+    instance.tokens("grade-1", 50, 1.0)
+    instance.finished("grade-1", "complete", 1.0)
     # What has to start first goes first, whatever came first.
-    lines += [describe(decision) for decision in made.poll(1.0)]
+    lines += [describe(decision) for decision in instance.poll(1.0)]
     # A caller that leaves frees what it held or waited for.
-    made.cancel("grade-2", 1.5)
-    lines += [describe(decision) for decision in made.poll(1.5)]
+    instance.cancel("grade-2", 1.5)
+    lines += [describe(decision) for decision in instance.poll(1.5)]
     return lines
 
 
--- a/examples/embed_lease.py
+++ b/examples/embed_lease.py
@@ -28,14 +28,14 @@
             new_id=lambda: f"{name}-{next(serial)}",
         )
 
-    def turn(self, now: float) -> None:
+    def run_step(self, now: float) -> None:
         """Reads what is new, and appends what is due."""
         page = self._log.read(self._lease.stream, self._lease.next_offset)
         self._lease.apply_page(page, now)
         for append in self._lease.tick(now):
             self._log.append(append)
 
-    def work(self, now: float) -> str:
+    def do_work(self, now: float) -> str:
         """Does what only the holder may do, if it is the holder now."""
         if not self._lease.holds_lease(now):
             return ""
@@ -52,9 +52,9 @@
         now = step * STEP_S
         running = [first, second] if now < 5.0 else [second]
         for candidate in running:
-            candidate.turn(now)
+            candidate.run_step(now)
         for candidate in (first, second):
-            done = candidate.work(now)
+            done = candidate.do_work(now)
             if done and (not lines or not lines[-1].endswith(done)):
                 lines.append(f"{now:5.1f} s: {done}")
     return lines
--- a/examples/measure_authority.py
+++ b/examples/measure_authority.py
@@ -30,12 +30,12 @@
 class _Group:
     """Three candidates of one group over a log with delays."""
 
-    def __init__(self, *, times: lease.LeaseTimes, draw: random.Random):
+    def __init__(self, *, times: lease.LeaseTimes, rng: random.Random):
         serial = itertools.count()
         self.now = 0.0
         self.log = fakelog.FakeLog()
-        self.arriving: list = []
-        self.kinds: dict[str, int] = {}
+        self.in_transit: list = []
+        self.append_counts: dict[str, int] = {}
         self.running = [
             lease.Lease(
                 group="g",
@@ -46,21 +46,21 @@
             )
             for rank in range(3)
         ]
-        self.next_tick = [draw.uniform(0, TICK_S) for _ in range(3)]
+        self.next_tick = [rng.uniform(0, TICK_S) for _ in range(3)]
 
     def run_until(self, end: float, *, until_held: bool = False) -> None:
         while self.now < end:
             self.now += 0.01
-            while self.arriving and self.arriving[0][0] <= self.now:
-                self.log.append(self.arriving.pop(0)[1])
+            while self.in_transit and self.in_transit[0][0] <= self.now:
+                self.log.append(self.in_transit.pop(0)[1])
             for index, view in enumerate(self.running):
                 if self.now >= self.next_tick[index]:
                     self.next_tick[index] += TICK_S
-                    self._turn(view)
+                    self._run_step(view)
             if until_held and self.holder is not None:
                 return
 
-    def _turn(self, view: lease.Lease) -> None:
+    def _run_step(self, view: lease.Lease) -> None:
         page = self.log.read(view.stream, view.next_offset)
         view.apply_page(page, self.now)
         for append in view.tick(self.now):
@@ -68,36 +68,36 @@
 
     def send(self, append: record.Append) -> None:
         kind = type(leaselog.CODEC.parse(append.body).unwrap()).__name__
-        self.kinds[kind] = self.kinds.get(kind, 0) + 1
-        self.arriving.append((self.now + APPEND_S + READ_S, append))
+        self.append_counts[kind] = self.append_counts.get(kind, 0) + 1
+        self.in_transit.append((self.now + APPEND_S + READ_S, append))
 
     @property
     def holder(self) -> lease.Lease | None:
-        acting = (v for v in self.running if v.holds_lease(self.now))
-        return next(acting, None)
+        holders = (v for v in self.running if v.holds_lease(self.now))
+        return next(holders, None)
 
 
-def _without_holder(ttl_s: float, planned: bool) -> tuple[float, float, int]:
+def _measure_failover(ttl_s: float, planned: bool) -> tuple[float, float, int]:
     times = lease.LeaseTimes(ttl_s=ttl_s, renew_every_s=ttl_s / 3)
     gaps, claims = [], 0
     for seed in range(TRIALS):
-        draw = random.Random(seed)
-        group = _Group(times=times, draw=draw)
-        group.run_until(ttl_s + draw.uniform(0, ttl_s))
-        gone, lost_at = group.holder, group.now
+        rng = random.Random(seed)
+        group = _Group(times=times, rng=rng)
+        group.run_until(ttl_s + rng.uniform(0, ttl_s))
+        removed, lost_at = group.holder, group.now
         if planned:
-            group.send(gone.retire(group.now))
-        group.next_tick.pop(group.running.index(gone))
-        group.running.remove(gone)
-        claims -= group.kinds["Claim"]
+            group.send(removed.retire(group.now))
+        group.next_tick.pop(group.running.index(removed))
+        group.running.remove(removed)
+        claims -= group.append_counts["Claim"]
         group.run_until(group.now + 10 * ttl_s, until_held=True)
-        claims += group.kinds["Claim"]
+        claims += group.append_counts["Claim"]
         gaps.append(group.now - lost_at)
     gaps.sort()
     return gaps[TRIALS // 2], gaps[-1], claims / TRIALS
 
 
-def _records(messages, codec) -> list[record.Record]:
+def _make_records(messages, codec) -> list[record.Record]:
     return [
         record.Record(
             offset=n, record_id=f"r{n}", body=codec.serialize(message)
@@ -118,7 +118,7 @@
         leaselog.Renew(holder="c", term=0, after_offset=n) for n in range(STEPS)
     )
     claim = leaselog.Claim(holder="c", after_offset=-1)
-    items = _records(itertools.chain([claim], renewals), leaselog.CODEC)
+    items = _make_records(itertools.chain([claim], renewals), leaselog.CODEC)
     fold = leaselog.LeaseFold()
     print(f"LeaseFold, a renewal: {_cost_us(fold.apply, items):.1f} us")
     view = lease.Lease(
@@ -128,10 +128,10 @@
         times=lease.LeaseTimes(),
         new_id=str,
     )
-    book = order.OrderTracker(
+    order_tracker = order.OrderTracker(
         authority=view, times=order.OrderTimes(), new_id=str
     )
-    cost = _cost_us(lambda item: book.apply(item, 0.0), items)
+    cost = _cost_us(lambda item: order_tracker.apply(item, 0.0), items)
     print(f"OrderTracker with its Lease, a renewal: {cost:.1f} us")
     cost = _cost_us(lambda now: view.holds_lease(now), [0.0] * STEPS)
     print(f"Lease.acting: {cost:.2f} us")
@@ -150,7 +150,7 @@
         for n in range(STEPS)
     )
     fold = orderlog.OrderFold()
-    items = _records(intents, orderlog.CODEC)
+    items = _make_records(intents, orderlog.CODEC)
     cost = _cost_us(lambda item: fold.apply(item, 0), items)
     print(f"OrderFold, an intent: {cost:.1f} us")
 
@@ -182,20 +182,20 @@
         )
         for n, claim in enumerate(claims)
     ]
-    claims = _records(claims, oncelog.CODEC)
-    outcomes = _records(outcomes, oncelog.CODEC)
-    timed = once.OnceShard(shard=0, runner="x", limits=limits, new_id=str)
-    claim_us = _cost_us(lambda item: timed.fold.apply(item, 0.0), claims)
-    done_us = _cost_us(lambda item: timed.fold.apply(item, 0.0), outcomes)
+    claims = _make_records(claims, oncelog.CODEC)
+    outcomes = _make_records(outcomes, oncelog.CODEC)
+    once_shard = once.OnceShard(shard=0, runner="x", limits=limits, new_id=str)
+    claim_us = _cost_us(lambda item: once_shard.fold.apply(item, 0.0), claims)
+    done_us = _cost_us(lambda item: once_shard.fold.apply(item, 0.0), outcomes)
     tracemalloc.start()
     fold = oncelog.OnceFold(limits=limits)
     for item in claims + outcomes:
         fold.apply(item, 0.0)
-    held, _ = tracemalloc.get_traced_memory()
+    retained_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(
         f"OnceFold, answers of {answer_bytes} bytes: claim {claim_us:.1f} us, "
-        f"done {done_us:.1f} us, {held / KEYS:.0f} bytes a key"
+        f"done {done_us:.1f} us, {retained_bytes / KEYS:.0f} bytes a key"
     )
 
 
@@ -203,18 +203,18 @@
     """Prints all figures."""
     for ttl_s in (3.0, 6.0, 12.0):
         for planned in (False, True):
-            middle, worst, claims = _without_holder(ttl_s, planned)
+            median, worst, claims = _measure_failover(ttl_s, planned)
             how = "planned stop" if planned else "kill or freeze"
             print(
                 f"TTL {ttl_s:.0f} s, {how}: without a holder "
-                f"p50 {middle:.2f} s, max {worst:.2f} s, "
+                f"p50 {median:.2f} s, max {worst:.2f} s, "
                 f"claims {claims:.2f} a failover"
             )
-    group = _Group(times=lease.LeaseTimes(), draw=random.Random(1))
+    group = _Group(times=lease.LeaseTimes(), rng=random.Random(1))
     group.run_until(20.0)
-    before = dict(group.kinds)
+    before = dict(group.append_counts)
     group.run_until(120.0)
-    rates = {k: (n - before[k]) / 100.0 for k, n in group.kinds.items()}
+    rates = {k: (n - before[k]) / 100.0 for k, n in group.append_counts.items()}
     print(f"appends a second a group at rest: {rates}")
     _lease_costs()
     _order_costs()
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
@@ -28,7 +28,7 @@
 )
 
 
-def _take_address(text: str, *, min_port: int = 1) -> str:
+def _parse_address(text: str, *, min_port: int = 1) -> str:
     try:
         return str(keys.parse_address(text, min_port=min_port))
     except ValueError as error:
@@ -37,8 +37,8 @@
         ) from None
 
 
-def _take_listen(text: str) -> str:
-    return _take_address(text, min_port=0)
+def _parse_listen_address(text: str) -> str:
+    return _parse_address(text, min_port=0)
 
 
 Log = Annotated[
@@ -46,7 +46,7 @@
     typer.Option(
         "--log",
         envvar=LOG_VARIABLE,
-        parser=_take_address,
+        parser=_parse_address,
         metavar="IP:PORT",
         help="The log service.",
     ),
@@ -58,20 +58,22 @@
 ]
 
 
-def _end(end: outcome.Outcome, json: bool) -> None:
+def _print_and_exit(result: outcome.Outcome, json: bool) -> None:
     if json:
-        typer.echo(outcome.serialize_value(end.value))
+        typer.echo(outcome.serialize_value(result.value))
     else:
-        if end.note:
-            typer.echo(end.note, err=True)
-        typer.echo(end.text, err=end.code in (outcome.REFUSED, outcome.USAGE))
-    raise typer.Exit(end.code)
+        if result.note:
+            typer.echo(result.note, err=True)
+        typer.echo(
+            result.text, err=result.code in (outcome.REFUSED, outcome.USAGE)
+        )
+    raise typer.Exit(result.code)
 
 
 @app.command()
 def check(file: File, json: Json = False) -> None:
     """Checks a service's or the fleet's document and names every error."""
-    _end(checking.check(file), json)
+    _print_and_exit(checking.check(file), json)
 
 
 @app.command()
@@ -91,14 +93,14 @@
     """Publishes a document and reads back whether it was accepted."""
     read = checking.read_draft(file)
     if isinstance(read, Failure):
-        _end(read.failure(), json)
+        _print_and_exit(read.failure(), json)
     draft = read.unwrap()
 
     async def command(reactor):
         client = logclient.LogClient(reactor=reactor, address=log)
         return await publishing.publish(reactor, client, draft, base=base)
 
-    _end(running.run(command), json)
+    _print_and_exit(running.run(command), json)
 
 
 @app.command()
@@ -109,7 +111,7 @@
         client = logclient.LogClient(reactor=reactor, address=log)
         return await reading.show(client, service)
 
-    _end(running.run(command), json)
+    _print_and_exit(running.run(command), json)
 
 
 @app.command()
@@ -120,7 +122,7 @@
         client = logclient.LogClient(reactor=reactor, address=log)
         return await reading.list_history(client, service)
 
-    _end(running.run(command), json)
+    _print_and_exit(running.run(command), json)
 
 
 @app.command()
@@ -130,7 +132,7 @@
         typer.Option(
             "--admin",
             envvar=ADMIN_VARIABLE,
-            parser=_take_address,
+            parser=_parse_address,
             metavar="IP:PORT",
             help="A daemon's admin address; may be given repeatedly.",
         ),
@@ -138,13 +140,15 @@
     json: Json = False,
 ) -> None:
     """Shows a line for each daemon."""
-    _end(running.run(lambda r: status_module.show_status(r, admin)), json)
+    _print_and_exit(
+        running.run(lambda r: status_module.show_status(r, admin)), json
+    )
 
 
 @app.command()
 def dump(
     address: Annotated[
-        str, typer.Argument(metavar="IP:PORT", parser=_take_address)
+        str, typer.Argument(metavar="IP:PORT", parser=_parse_address)
     ],
     service: Annotated[
         str | None, typer.Argument(help="One service of the daemon.")
@@ -152,7 +156,9 @@
     json: Json = False,
 ) -> None:
     """Shows the state of a daemon, by its admin address."""
-    _end(running.run(lambda r: status_module.dump(r, address, service)), json)
+    _print_and_exit(
+        running.run(lambda r: status_module.dump(r, address, service)), json
+    )
 
 
 @app.command()
@@ -161,7 +167,7 @@
     # The replay brings in the simulated engines, which no other command needs.
     from bulrushgrade_cli import replaying
 
-    _end(replaying.replay_trace(trace, json=json), json)
+    _print_and_exit(replaying.replay_trace(trace, json=json), json)
 
 
 @app.command()
@@ -169,7 +175,7 @@
     listen: Annotated[
         str,
         typer.Option(
-            parser=_take_listen,
+            parser=_parse_listen_address,
             metavar="IP:PORT",
             help="Where callers reach the daemon; port 0 takes a free one.",
         ),
@@ -179,7 +185,7 @@
     # The demo brings in the daemon and every stand-in.
     from bulrushgrade_cli import demo as demo_module
 
-    _end(demo_module.run_demo(listen), json=False)
+    _print_and_exit(demo_module.run_demo(listen), json=False)
 
 
 def main() -> None:
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/checking.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/checking.py
@@ -56,8 +56,8 @@
     else:
         parsed = document.parse_document(text, source=source)
     if isinstance(parsed, Failure):
-        found = [str(error) for error in parsed.failure()]
-        return Failure(outcome.refuse("\n".join(found), errors=found))
+        errors = [str(error) for error in parsed.failure()]
+        return Failure(outcome.refuse("\n".join(errors), errors=errors))
     valid = parsed.unwrap()
     is_fleet = isinstance(valid, fleet.FleetDocument)
     return Success(
@@ -77,10 +77,10 @@
 
 def check(path: str) -> outcome.Outcome:
     """Checks a document; nothing is sent anywhere."""
-    read = read_draft(path)
-    if isinstance(read, Failure):
-        return read.failure()
-    draft = read.unwrap()
+    parsed_file = read_draft(path)
+    if isinstance(parsed_file, Failure):
+        return parsed_file.failure()
+    draft = parsed_file.unwrap()
     return outcome.Outcome(
         code=outcome.DONE,
         text=f"{path}: {draft.service} of {draft.team} is valid",
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
@@ -36,7 +36,7 @@
 MODEL_SERVICE = "pack-llm"
 PLAIN_SERVICE = "portal-app"
 ROLES = ("prefill", "mixed")
-ANY_PORT = "127.0.0.1:0"
+ANY_LOOPBACK_PORT = "127.0.0.1:0"
 
 
 @attrs.define(kw_only=True)
@@ -46,12 +46,12 @@
     Attributes:
         listeners: The stand-ins by name; engines carry their roles.
         daemon: The daemon.
-        ended: Fires with the reason when the daemon breaks.
+        broken: Fires with the reason when the daemon breaks.
     """
 
     listeners: dict[str, server.Listener]
     daemon: host.Daemon
-    ended: defer.Deferred
+    broken: defer.Deferred
 
     async def stop(self) -> None:
         """Stops the daemon, which finishes its requests, then the rest."""
@@ -75,7 +75,7 @@
 
 
 async def _run(reactor: Any, listen: str) -> outcome.Outcome:
-    system = _build(reactor, listen)
+    system = _build_system(reactor, listen)
     try:
         await system.daemon.kernel.start()
     except internet_error.CannotListenError as error:
@@ -95,16 +95,16 @@
     )
     for text in demodocuments.ALL:
         draft = checking.parse_draft(text, source="demo").unwrap()
-        end = await publishing.publish(reactor, client, draft)
-        if end.code != outcome.DONE:
-            return end
+        result = await publishing.publish(reactor, client, draft)
+        if result.code != outcome.DONE:
+            return result
     await client.stop()
-    print(describe(system.daemon, system.listeners), flush=True)
-    reason = await system.ended
+    print(format_instructions(system.daemon, system.listeners), flush=True)
+    reason = await system.broken
     return outcome.refuse(f"the daemon stopped: {reason}")
 
 
-def _serve(
+def _start_standins(
     reactor: Any,
 ) -> dict[str, server.Listener]:
     """Starts the stand-ins; the host list is empty yet."""
@@ -122,10 +122,10 @@
             model=demodocuments.MODEL,
             version=demodocuments.VERSION,
         )
-        made = engine.Engine(
+        standin = engine.Engine(
             settings=engine.EngineSettings(start=start, changes=changes)
         )
-        listeners[role] = server.serve(app=made.app)
+        listeners[role] = server.serve(app=standin.app)
     entries = [_list_host(listeners["plain"], "plain", PLAIN_SERVICE)]
     for role in ROLES:
         entries.append(_list_host(listeners[role], "engine", MODEL_SERVICE))
@@ -148,10 +148,10 @@
     }
 
 
-def _build(reactor: Any, listen: str) -> _System:
-    listeners = _serve(reactor)
-    ended: defer.Deferred = defer.Deferred()
-    local = keys.parse_address(ANY_PORT, min_port=0)
+def _build_system(reactor: Any, listen: str) -> _System:
+    listeners = _start_standins(reactor)
+    broken: defer.Deferred = defer.Deferred()
+    local = keys.parse_address(ANY_LOOPBACK_PORT, min_port=0)
     settings = settings_module.Settings(
         host=settings_module.Host(name="demo", zone=ZONE, region=REGION),
         listen=settings_module.Listen(
@@ -168,12 +168,14 @@
         limits=settings_module.Limits(stop_grace_s=0.0, drain_limit_s=30.0),
     )
     daemon = host.build(
-        settings, reactor, on_broken=lambda reason: ended.callback(reason)
+        settings, reactor, on_broken=lambda reason: broken.callback(reason)
     )
-    return _System(listeners=listeners, daemon=daemon, ended=ended)
+    return _System(listeners=listeners, daemon=daemon, broken=broken)
 
 
-def describe(daemon: host.Daemon, listeners: dict[str, server.Listener]) -> str:
+def format_instructions(
+    daemon: host.Daemon, listeners: dict[str, server.Listener]
+) -> str:
     """Returns what to try, for a person.
 
     Args:
@@ -207,12 +209,12 @@
         f"  {command} status --admin {admin}",
         f"  {command} show {MODEL_SERVICE} --log {listeners['log'].address}",
         "",
-        _say_how_to_stop(),
+        _format_stop_instruction(),
     ]
     return "\n".join(lines)
 
 
-def _say_how_to_stop() -> str:
+def _format_stop_instruction() -> str:
     # A shell starts its background jobs so that they ignore the signal.
     if signal.getsignal(signal.SIGINT) is signal.SIG_IGN:
         return "Ctrl-C is ignored in this process; SIGTERM stops it."
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/outcome.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/outcome.py
@@ -35,7 +35,7 @@
     return Outcome(code=REFUSED, text=reason, value=value)
 
 
-def leave_unknown(reason: str, **value: Any) -> Outcome:
+def report_unknown(reason: str, **value: Any) -> Outcome:
     """Returns that a command may or may not have taken effect."""
     value = {"done": None, "reason": reason, **value}
     return Outcome(code=UNKNOWN, text=reason, value=value)
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
@@ -24,8 +24,8 @@
 
 # How long the outcome is sought. The log's short outages pass in this time,
 # and an operator still waits for it in front of the screen.
-LIMIT_S = 20.0
-PAUSE_S = (0.1, 0.5)
+TIMEOUT_S = 20.0
+RETRY_PAUSE_RANGE_S = (0.1, 0.5)
 
 
 @attrs.define(kw_only=True)
@@ -53,7 +53,7 @@
     draft: checking.Draft,
     *,
     base: int | None = None,
-    limit_s: float = LIMIT_S,
+    timeout_s: float = TIMEOUT_S,
 ) -> outcome.Outcome:
     """Publishes a document, unless it is in force already.
 
@@ -63,20 +63,20 @@
         draft: The document.
         base: The revision that it was edited from; None takes the one that
             is accepted now.
-        limit_s: How long the outcome is sought.
+        timeout_s: How long the outcome is sought.
     """
-    found = registry.Registry()
-    read = await reading.catch_up(log, found)
+    fold = registry.Registry()
+    read = await reading.catch_up(log, fold)
     if isinstance(read, Failure):
         return outcome.refuse(f"nothing published: {read.failure()}")
-    if _is_in_force(found, draft):
-        return _tell_done(found, draft, "is in force already")
-    accepted = found.accepted_revision(draft.service)
+    if _is_in_force(fold, draft):
+        return _report_done(fold, draft, "is in force already")
+    accepted = fold.accepted_revision(draft.service)
     current = None if accepted is None else accepted.offset
     if base is not None and base != current:
         # Accepted revisions only go up, so the base can't come back.
-        shown = "none" if current is None else current
-        reason = f"edited from {base}, accepted is {shown}"
+        current_text = "none" if current is None else current
+        reason = f"edited from {base}, accepted is {current_text}"
         return outcome.refuse(
             f"{draft.service}: {reason}",
             code="base_replaced",
@@ -85,7 +85,7 @@
     attempt = _Attempt(
         draft=draft, append=_make_append(draft, current), base=current
     )
-    return await _settle(reactor, log, found, attempt, limit_s)
+    return await _append_until_decided(reactor, log, fold, attempt, timeout_s)
 
 
 def _make_append(draft: checking.Draft, base: int | None) -> record.Append:
@@ -105,36 +105,36 @@
     )
 
 
-async def _settle(
+async def _append_until_decided(
     reactor: Any,
     log: logclient.LogClient,
-    found: registry.Registry,
+    fold: registry.Registry,
     attempt: _Attempt,
-    limit_s: float,
+    timeout_s: float,
 ) -> outcome.Outcome:
     """Appends and reads back until the verdict is known or time is up."""
-    give_up_at = reactor.seconds() + limit_s
+    deadline = reactor.seconds() + timeout_s
     send = True
     while True:
         if send:
             await _append(log, attempt)
-        read = await reading.catch_up(log, found)
-        end = _find_end(found, attempt)
-        if end is not None:
-            return end
+        read = await reading.catch_up(log, fold)
+        result = _find_outcome(fold, attempt)
+        if result is not None:
+            return result
         # Sent again only once a read to the end has not shown the record: a
         # copy does no harm, but a log that is only slow needs no more load.
         send = not isinstance(read, Failure)
         attempt.reason = "the record is not on the log"
         if isinstance(read, Failure):
             attempt.reason = read.failure()
-        if reactor.seconds() >= give_up_at:
+        if reactor.seconds() >= deadline:
             break
-        pause_s = random.uniform(*PAUSE_S)
+        pause_s = random.uniform(*RETRY_PAUSE_RANGE_S)
         await task.deferLater(reactor, pause_s, lambda: None)
     record_id = attempt.append.record_id
     if attempt.maybe_stored:
-        return outcome.leave_unknown(
+        return outcome.report_unknown(
             f"{attempt.draft.service}: it is not known whether the log took "
             f"the document ({attempt.reason}); look at its history, or "
             "publish again, which is harmless",
@@ -146,25 +146,25 @@
 
 
 async def _append(log: logclient.LogClient, attempt: _Attempt) -> None:
-    stored = await log.append(publication.STREAM, [attempt.append])
-    if not isinstance(stored, Failure):
+    appended = await log.append(publication.STREAM, [attempt.append])
+    if not isinstance(appended, Failure):
         attempt.maybe_stored = True
         return
-    error = stored.failure()
+    error = appended.failure()
     if isinstance(error, logclient.OutcomeUnknown):
         attempt.maybe_stored = True
 
 
-def _find_end(
-    found: registry.Registry, attempt: _Attempt
+def _find_outcome(
+    fold: registry.Registry, attempt: _Attempt
 ) -> outcome.Outcome | None:
-    verdict = found.find_verdict(attempt.append.record_id)
+    verdict = fold.find_verdict(attempt.append.record_id)
     if verdict is None:
         return None
     if verdict.accepted:
-        return _tell_done(found, attempt.draft, "is accepted")
-    if _is_in_force(found, attempt.draft):
-        return _tell_done(found, attempt.draft, "was published meanwhile")
+        return _report_done(fold, attempt.draft, "is accepted")
+    if _is_in_force(fold, attempt.draft):
+        return _report_done(fold, attempt.draft, "was published meanwhile")
     return outcome.refuse(
         f"{attempt.draft.service}: {verdict.message}",
         code=verdict.code,
@@ -172,17 +172,17 @@
     )
 
 
-def _is_in_force(found: registry.Registry, draft: checking.Draft) -> bool:
-    accepted = found.accepted_revision(draft.service)
+def _is_in_force(fold: registry.Registry, draft: checking.Draft) -> bool:
+    accepted = fold.accepted_revision(draft.service)
     if accepted is None:
         return False
     return (accepted.text, accepted.team) == (draft.text, draft.team)
 
 
-def _tell_done(
-    found: registry.Registry, draft: checking.Draft, how: str
+def _report_done(
+    fold: registry.Registry, draft: checking.Draft, how: str
 ) -> outcome.Outcome:
-    accepted = found.accepted_revision(draft.service)
+    accepted = fold.accepted_revision(draft.service)
     # By now a later publish may have replaced it; the verdict still stands.
     revision = None if accepted is None else accepted.offset
     return outcome.Outcome(
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/reading.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/reading.py
@@ -14,41 +14,41 @@
 
 
 async def catch_up(
-    log: logclient.LogClient, found: registry.Registry
+    log: logclient.LogClient, fold: registry.Registry
 ) -> Result[registry.Registry, str]:
     """Folds all that is on the log into a registry.
 
     Args:
         log: The log service.
-        found: The registry, empty or folded in part.
+        fold: The registry, empty or folded in part.
 
     Returns:
         The registry, or why it can't be told what is accepted.
     """
     while True:
-        offset = found.read_offset
+        offset = fold.read_offset
         read = await log.read(publication.STREAM, offset)
         if isinstance(read, Failure):
             return Failure(f"the log does not answer: {read.failure().reason}")
         page = read.unwrap()
-        found.observe_earliest_offset(page.earliest_offset)
+        fold.observe_earliest_offset(page.earliest_offset)
         for item in page.records:
-            found.apply(item)
+            fold.apply(item)
         # A record that this release can't judge holds the fold where it is.
-        stuck = found.read_offset == offset
-        if stuck or found.read_offset >= page.end_offset:
+        is_blocked = fold.read_offset == offset
+        if is_blocked or fold.read_offset >= page.end_offset:
             break
-    state = found.readiness(page.end_offset)
+    state = fold.readiness(page.end_offset)
     if isinstance(state, Failure):
         return Failure(f"the log can't be followed: {state.failure().reason}")
-    return Success(found)
+    return Success(fold)
 
 
 async def show(log: logclient.LogClient, service: str) -> outcome.Outcome:
     """Returns the accepted document of a service, or of the fleet."""
     read = await catch_up(log, registry.Registry())
     if isinstance(read, Failure):
-        return outcome.leave_unknown(read.failure())
+        return outcome.report_unknown(read.failure())
     revision = read.unwrap().accepted_revision(service)
     if revision is None:
         return outcome.refuse(f"{service} has no accepted document")
@@ -71,7 +71,7 @@
     """Returns the newest publishes of a service and what became of them."""
     read = await catch_up(log, registry.Registry())
     if isinstance(read, Failure):
-        return outcome.leave_unknown(read.failure())
+        return outcome.report_unknown(read.failure())
     verdicts = read.unwrap().history(service)
     if not verdicts:
         return outcome.refuse(f"nothing has been published for {service}")
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/running.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/running.py
@@ -9,7 +9,7 @@
 
 from bulrushgrade_cli import outcome
 
-INTERRUPTED = outcome.leave_unknown("interrupted before the end was known")
+INTERRUPTED = outcome.report_unknown("interrupted before the end was known")
 
 
 def run(
@@ -29,17 +29,17 @@
     # Imported late: commands that need no reactor don't install one.
     from twisted.internet import reactor
 
-    ends: list[Any] = []
+    results: list[Any] = []
 
     def start() -> None:
-        ending = defer.Deferred.fromCoroutine(command(reactor))
-        ending.addBoth(ends.append)
-        ending.addBoth(lambda _: reactor.running and reactor.stop())
+        deferred = defer.Deferred.fromCoroutine(command(reactor))
+        deferred.addBoth(results.append)
+        deferred.addBoth(lambda _: reactor.running and reactor.stop())
 
     reactor.callWhenRunning(start)
     reactor.run()
-    if not ends:
+    if not results:
         return interrupted
-    if isinstance(ends[0], failure.Failure):
-        ends[0].raiseException()
-    return ends[0]
+    if isinstance(results[0], failure.Failure):
+        results[0].raiseException()
+    return results[0]
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/status.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/status.py
@@ -41,7 +41,7 @@
     value: Any
 
 
-async def ask(reactor: Any, address: str, path: str) -> Result[Answer, str]:
+async def fetch(reactor: Any, address: str, path: str) -> Result[Answer, str]:
     """Returns a daemon's answer on its admin address, or why there is none."""
     client = httpclient.open_client(reactor, persistent=False)
 
@@ -50,9 +50,9 @@
         raw = await treq.content(response)
         return Answer(code=response.code, value=msgspec.json.decode(raw))
 
-    asked = defer.Deferred.fromCoroutine(get())
+    fetched = defer.Deferred.fromCoroutine(get())
     try:
-        return Success(await asked.addTimeout(TIMEOUT_S, reactor))
+        return Success(await fetched.addTimeout(TIMEOUT_S, reactor))
     except Exception as error:
         reason = str(error) or type(error).__name__
         return Failure(f"{address} does not answer: {reason}")
@@ -63,10 +63,10 @@
 ) -> outcome.Outcome:
     """Returns the state of a daemon, or of one of its services."""
     path = "/dump" if service is None else f"/dump/{service}"
-    asked = await ask(reactor, address, path)
-    if isinstance(asked, Failure):
-        return outcome.leave_unknown(asked.failure())
-    answer = asked.unwrap()
+    fetched = await fetch(reactor, address, path)
+    if isinstance(fetched, Failure):
+        return outcome.report_unknown(fetched.failure())
+    answer = fetched.unwrap()
     if answer.code != 200:
         reason = f"{address} answered {answer.code}: {answer.value}"
         return outcome.refuse(reason)
@@ -90,32 +90,32 @@
         Done when all are ready, refused when one says that it is not, and
         unknown when one did not answer.
     """
-    asked = await defer.gatherResults(
+    fetched = await defer.gatherResults(
         [
-            defer.Deferred.fromCoroutine(ask(reactor, address, "/dump"))
+            defer.Deferred.fromCoroutine(fetch(reactor, address, "/dump"))
             for address in addresses
         ]
     )
     rows = [
-        _sum_up(address, answer)
-        for address, answer in zip(addresses, asked, strict=True)
+        _summarize(address, answer)
+        for address, answer in zip(addresses, fetched, strict=True)
     ]
     code = outcome.DONE
     if any(row["ready"] != "yes" for row in rows):
         code = outcome.REFUSED
-    if any(isinstance(answer, Failure) for answer in asked):
+    if any(isinstance(answer, Failure) for answer in fetched):
         code = outcome.UNKNOWN
     return outcome.Outcome(
         code=code, text=_format_rows(rows), value={"daemons": rows}
     )
 
 
-def _sum_up(address: str, asked: Result[Answer, str]) -> dict[str, Any]:
+def _summarize(address: str, fetched: Result[Answer, str]) -> dict[str, Any]:
     row: dict[str, Any] = dict.fromkeys(_COLUMNS, "-")
     row["admin"] = address
-    if isinstance(asked, Failure):
-        return {**row, "ready": "no answer", "reason": asked.failure()}
-    state = asked.unwrap().value
+    if isinstance(fetched, Failure):
+        return {**row, "ready": "no answer", "reason": fetched.failure()}
+    state = fetched.unwrap().value
     # A daemon of another release may lack a part; its column stays empty.
     callers = state.get("callers", {})
     documents = state.get("documents", {})
--- a/packages/bulrushgrade_cli/tests/test_demo.py
+++ b/packages/bulrushgrade_cli/tests/test_demo.py
@@ -13,7 +13,7 @@
 
 from bulrushgrade_daemon import keys
 
-QUESTION = {
+REQUEST_BODY = {
     "model": "pack-llm",
     "messages": [{"role": "user", "content": "Which pack grade?"}],
     "max_tokens": 60,
@@ -21,7 +21,7 @@
 }
 
 
-def start_demo(interrupts):
+def start_demo(sigint_handler):
     """Starts the demo with a way to take SIGINT, whatever is inherited."""
     command = [sys.executable, "-m", "bulrushgrade_cli", "demo"]
     return subprocess.Popen(
@@ -29,11 +29,11 @@
         env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
         stdout=subprocess.PIPE,
         text=True,
-        preexec_fn=lambda: signal.signal(signal.SIGINT, interrupts),
+        preexec_fn=lambda: signal.signal(signal.SIGINT, sigint_handler),
     )
 
 
-def end(popen):
+def kill_and_wait(popen):
     popen.kill()
     popen.wait(processes.LIMIT_S)
     popen.stdout.close()
@@ -45,7 +45,7 @@
     try:
         yield popen
     finally:
-        end(popen)
+        kill_and_wait(popen)
 
 
 def read_until(stream, last):
@@ -71,7 +71,7 @@
     caller.request(
         "POST",
         "/v1/chat/completions",
-        body=json.dumps(QUESTION),
+        body=json.dumps(REQUEST_BODY),
         headers={"Content-Type": "application/json"},
     )
     answer = caller.getresponse()
@@ -84,7 +84,7 @@
     assert demo.stdout.read().strip() == "stopped"
 
 
-def test_a_demo_that_ignores_ctrl_c_says_what_stops_it():
+def test_demo_that_ignores_sigint_names_sigterm():
     """A shell's background job ignores SIGINT, and so does what it starts.
 
     The demo told of Ctrl-C, which never arrived.
@@ -96,28 +96,28 @@
         popen.send_signal(signal.SIGTERM)
         assert popen.wait(processes.LIMIT_S) == 0
     finally:
-        end(popen)
+        kill_and_wait(popen)
 
 
-def test_taken_address_is_one_line_that_names_it():
+def test_address_in_use_is_reported_in_one_line():
     """Another program listens where the demo wants to.
 
     A first-time user would see a traceback through the reactor, with nothing
     in it about which address to change and how.
     """
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        address = f"127.0.0.1:{taken.getsockname()[1]}"
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
         command = [sys.executable, "-m", "bulrushgrade_cli", "demo"]
-        ended = subprocess.run(
+        finished = subprocess.run(
             [*command, "--listen", address],
             env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
             capture_output=True,
             text=True,
             timeout=processes.LIMIT_S,
         )
-    assert ended.returncode == 1
-    (line,) = ended.stderr.strip().splitlines()
+    assert finished.returncode == 1
+    (line,) = finished.stderr.strip().splitlines()
     assert address in line
     assert "--listen" in line
--- a/packages/bulrushgrade_cli/tests/test_main.py
+++ b/packages/bulrushgrade_cli/tests/test_main.py
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture
-def running():
+def started_processes():
     with processes.running() as started:
         yield started
 
@@ -36,13 +36,13 @@
         ["show", "fleet", "--log", "localhost:1"],
         ["dump", "10.0.0.1"],
     ):
-        end = run(*arguments)
-        assert end.returncode == 2, (arguments, end.stderr)
-        assert end.stderr
+        finished = run(*arguments)
+        assert finished.returncode == 2, (arguments, finished.stderr)
+        assert finished.stderr
 
 
-def test_publish_show_and_an_unknown_outcome(running, tmp_path):
-    log = running.standin("log")
+def test_publish_show_and_an_unknown_outcome(started_processes, tmp_path):
+    log = started_processes.standin("log")
     path = tmp_path / "fleet.ini"
     path.write_text(demodocuments.FLEET)
     published = run("publish", str(path), "--log", log.address, "--json")
--- a/packages/bulrushgrade_cli/tests/test_pages.py
+++ b/packages/bulrushgrade_cli/tests/test_pages.py
@@ -19,7 +19,7 @@
 }
 
 # As CONTRIBUTING.md has it.
-MAY_IMPORT = {
+ALLOWED_IMPORTS = {
     "bulrushgrade": set(),
     "bulrushgrade_daemon": {"bulrushgrade"},
     "bulrushgrade_standins": {"bulrushgrade"},
@@ -29,7 +29,7 @@
 }  # fmt: skip
 
 # Words of the platform that only its adapter may know.
-PLATFORM_WORDS = re.compile(
+PLATFORM_TERMS = re.compile(
     r"x-(?:kv-|not-executed|expect-|prompt-prefix|serving-stage)"
     r"|kv-(?:fetch|events|handle)|log-(?:read|newest|append)|keyed\.",
     re.IGNORECASE,
@@ -54,11 +54,11 @@
 def test_links_and_named_pages_exist(page):
     text = page.read_text()
     links = re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", text)
-    gone = [link for link in links if not (page.parent / link).exists()]
-    assert gone == []
+    missing = [link for link in links if not (page.parent / link).exists()]
+    assert missing == []
     paths = re.findall(r"\b(?:docs|examples|tools|packages)/[\w./-]*\w", text)
-    gone = [path for path in paths if not (ROOT / path).exists()]
-    assert gone == []
+    missing = [path for path in paths if not (ROOT / path).exists()]
+    assert missing == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
@@ -78,8 +78,8 @@
 
 
 def _check_line(command, line):
-    asked = set(re.findall(r"(?<= )--[a-z][a-z-]*", line))
-    assert asked <= _options(command), line
+    options = set(re.findall(r"(?<= )--[a-z][a-z-]*", line))
+    assert options <= _options(command), line
 
 
 def test_proofs_name_tests_that_exist():
@@ -99,11 +99,11 @@
             assert re.search(defined, text, re.MULTILINE), name
 
 
-def test_only_the_adapter_knows_the_platforms_words():
+def test_only_the_adapter_uses_the_platforms_terms():
     found = {
         path.name
         for path in ROOT.glob("packages/*/*/*.py")
-        if "tests" not in path.parts and PLATFORM_WORDS.search(path.read_text())
+        if "tests" not in path.parts and PLATFORM_TERMS.search(path.read_text())
     }
     assert found == set()
 
@@ -120,11 +120,13 @@
         *ROOT.glob("examples/*.py"),
     ]
     assert len(paths) > len(PAGES)
-    bare = [p for p in paths if not ast.get_docstring(ast.parse(p.read_text()))]
-    assert bare == []
+    undocumented = [
+        p for p in paths if not ast.get_docstring(ast.parse(p.read_text()))
+    ]
+    assert undocumented == []
 
 
-@pytest.mark.parametrize("package", MAY_IMPORT)
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
 def test_packages_import_in_one_direction(package):
     found = set()
     for path in ROOT.glob(f"packages/{package}/{package}/*.py"):
@@ -133,5 +135,5 @@
                 found.update(item.name.split(".")[0] for item in node.names)
             elif isinstance(node, ast.ImportFrom):
                 found.add(node.module.split(".")[0])
-    own = found & MAY_IMPORT.keys() - {package}
-    assert own <= MAY_IMPORT[package]
+    imported = found & ALLOWED_IMPORTS.keys() - {package}
+    assert imported <= ALLOWED_IMPORTS[package]
--- a/packages/bulrushgrade_cli/tests/test_publishing.py
+++ b/packages/bulrushgrade_cli/tests/test_publishing.py
@@ -48,8 +48,8 @@
 
     async def publish_all(self):
         for draft in (FLEET, SERVICE, PLAIN):
-            end = await self.publish(draft)
-            self.assertEqual(end.code, outcome.DONE, end.text)
+            result = await self.publish(draft)
+            self.assertEqual(result.code, outcome.DONE, result.text)
 
     async def count_records(self):
         page = await self.log.read(publication.STREAM, 0)
@@ -67,68 +67,70 @@
             missing = await command(self.log, "no-such")
             self.assertEqual(missing.code, outcome.REFUSED)
 
-    async def test_second_publish_of_the_same_appends_nothing(self):
+    async def test_second_publish_of_the_same_document_appends_nothing(self):
         await self.publish_all()
-        end = await self.publish(SERVICE, base=0)
-        self.assertEqual(end.code, outcome.DONE)
+        result = await self.publish(SERVICE, base=0)
+        self.assertEqual(result.code, outcome.DONE)
         self.assertEqual(await self.count_records(), 3)
 
-    async def test_old_base_is_refused_with_what_beat_it(self):
+    async def test_old_base_is_refused_with_the_newer_revision(self):
         await self.publish_all()
-        end = await self.publish(FASTER, base=1)
-        self.assertEqual(end.code, outcome.DONE, end.text)
+        result = await self.publish(FASTER, base=1)
+        self.assertEqual(result.code, outcome.DONE, result.text)
         slower = edit(SERVICE, "whole_answer_s = 60", "whole_answer_s = 70")
-        late = await self.publish(slower, base=1)
-        self.assertEqual(late.code, outcome.REFUSED)
-        self.assertEqual(late.value["beaten_by"], 3)
+        replaced = await self.publish(slower, base=1)
+        self.assertEqual(replaced.code, outcome.REFUSED)
+        self.assertEqual(replaced.value["beaten_by"], 3)
 
-    async def test_of_two_at_once_one_wins_and_both_know(self):
+    async def test_one_of_two_concurrent_publishes_is_refused(self):
         await self.publish_all()
         slower = edit(SERVICE, "whole_answer_s = 60", "whole_answer_s = 70")
-        ends = await defer.gatherResults(
+        results = await defer.gatherResults(
             [
                 defer.ensureDeferred(self.publish(draft))
                 for draft in (FASTER, slower)
             ]
         )
-        codes = sorted(end.code for end in ends)
+        codes = sorted(result.code for result in results)
         self.assertEqual(codes, [outcome.DONE, outcome.REFUSED])
-        (loser,) = (end for end in ends if end.code == outcome.REFUSED)
-        self.assertEqual(loser.value["code"], "base_replaced")
-        self.assertEqual(loser.value["beaten_by"], 3)
+        (refused,) = (
+            result for result in results if result.code == outcome.REFUSED
+        )
+        self.assertEqual(refused.value["code"], "base_replaced")
+        self.assertEqual(refused.value["beaten_by"], 3)
 
     async def test_document_of_another_team_is_refused(self):
         await self.publish_all()
         foreign = edit(SERVICE, "team = platform", "team = rival")
-        end = await self.publish(foreign)
-        self.assertEqual(end.code, outcome.REFUSED)
-        self.assertEqual(end.value["code"], "wrong_team")
+        result = await self.publish(foreign)
+        self.assertEqual(result.code, outcome.REFUSED)
+        self.assertEqual(result.value["code"], "wrong_team")
 
-    async def test_lost_answer_is_settled_by_reading_back(self):
+    async def test_lost_answer_is_resolved_by_reading_back(self):
         # An operator would publish once more, or believe a change missing
         # that is in force. The log took the record and its connection broke
         # before the answer; only the stream tells what happened.
         await self.publish_all()
         self.service.set_faults(log_standin.LogFaults(lose_answers=1))
-        end = await self.publish(FASTER)
-        self.assertEqual(end.code, outcome.DONE, end.text)
+        result = await self.publish(FASTER)
+        self.assertEqual(result.code, outcome.DONE, result.text)
         self.assertEqual(await self.count_records(), 4)
 
     async def test_lost_request_is_sent_again(self):
         await self.publish_all()
         self.service.set_faults(log_standin.LogFaults(lose_requests=2))
-        end = await self.publish(FASTER)
-        self.assertEqual(end.code, outcome.DONE, end.text)
+        result = await self.publish(FASTER)
+        self.assertEqual(result.code, outcome.DONE, result.text)
         self.assertEqual(await self.count_records(), 4)
 
     async def test_outage_before_the_append_leaves_nothing_published(self):
         self.service.set_faults(log_standin.LogFaults(outage=True))
-        end = await self.publish(FLEET)
-        self.assertEqual(end.code, outcome.REFUSED)
+        result = await self.publish(FLEET)
+        self.assertEqual(result.code, outcome.REFUSED)
         shown = await reading.show(self.log, "fleet")
         self.assertEqual(shown.code, outcome.UNKNOWN)
 
-    async def test_outage_after_the_append_is_told_as_unknown(self):
+    async def test_outage_after_the_append_is_reported_as_unknown(self):
         # The log takes the record, goes away before it answers, and stays
         # away: neither "published" nor "not published" would be honest.
         append = self.log.append
@@ -140,8 +142,8 @@
             return logclient.Failure(logclient.OutcomeUnknown(reason=reason))
 
         self.patch(self.log, "append", append_and_lose)
-        end = await self.publish(FLEET, limit_s=0.3)
-        self.assertEqual(end.code, outcome.UNKNOWN)
+        result = await self.publish(FLEET, timeout_s=0.3)
+        self.assertEqual(result.code, outcome.UNKNOWN)
         self.service.set_faults(log_standin.LogFaults())
         again = await self.publish(FLEET)
         self.assertEqual(again.code, outcome.DONE)
--- a/packages/bulrushgrade_cli/tests/test_replaying.py
+++ b/packages/bulrushgrade_cli/tests/test_replaying.py
@@ -6,18 +6,18 @@
 from bulrushgrade_standins import trace
 
 
-def test_file_that_is_no_trace_is_a_matter_of_usage(tmp_path):
+def test_invalid_trace_file_is_a_usage_error(tmp_path):
     path = tmp_path / "x.jsonl"
     assert replaying.replay_trace(str(path)).code == outcome.USAGE
     path.write_text("no trace\n")
-    end = replaying.replay_trace(str(path))
-    assert end.code == outcome.USAGE
-    assert str(path) in end.text
+    result = replaying.replay_trace(str(path))
+    assert result.code == outcome.USAGE
+    assert str(path) in result.text
 
 
-def test_figures_of_a_trace_for_a_person_and_a_program(tmp_path):
+def test_replay_figures_as_text_and_as_json(tmp_path):
     path = tmp_path / "x.jsonl"
-    made = trace.Trace(
+    recorded = trace.Trace(
         header=trace.Header(
             name="one",
             generated=True,
@@ -40,10 +40,10 @@
         ),
         events=(),
     )
-    trace.write_trace(made, path)
-    for_person = replaying.replay_trace(str(path))
-    assert for_person.code == outcome.DONE
-    for_program = replaying.replay_trace(str(path), json=True)
-    assert for_program.value.keys() == {
-        line.split()[0] for line in for_person.text.splitlines()
+    trace.write_trace(recorded, path)
+    as_text = replaying.replay_trace(str(path))
+    assert as_text.code == outcome.DONE
+    as_json = replaying.replay_trace(str(path), json=True)
+    assert as_json.value.keys() == {
+        line.split()[0] for line in as_text.text.splitlines()
     }
--- a/packages/bulrushgrade_cli/tests/test_status.py
+++ b/packages/bulrushgrade_cli/tests/test_status.py
@@ -44,9 +44,9 @@
 
     async def test_status_has_a_line_for_each_daemon(self):
         ready = await self.open_admin(STATE)
-        end = await status.show_status(reactor, [ready])
-        self.assertEqual(end.code, outcome.DONE)
-        heading, line = end.text.splitlines()
+        result = await status.show_status(reactor, [ready])
+        self.assertEqual(result.code, outcome.DONE)
+        heading, line = result.text.splitlines()
         self.assertEqual(heading.split()[:3], ["admin", "ready", "open"])
         self.assertIn("1 changing, 1 serving", line)
         self.assertIn("01234567 ", line)
@@ -55,15 +55,15 @@
     async def test_status_of_unready_and_silent_daemons(self):
         reason = "no host list has been read"
         unready = await self.open_admin({"callers": {"not_ready": reason}})
-        end = await status.show_status(reactor, [unready])
-        self.assertEqual(end.code, outcome.REFUSED)
-        self.assertIn(reason, end.text)
+        result = await status.show_status(reactor, [unready])
+        self.assertEqual(result.code, outcome.REFUSED)
+        self.assertIn(reason, result.text)
         silent = await self.find_silent_address()
-        end = await status.show_status(reactor, [unready, silent])
-        self.assertEqual(end.code, outcome.UNKNOWN)
-        self.assertEqual(len(end.value["daemons"]), 2)
+        result = await status.show_status(reactor, [unready, silent])
+        self.assertEqual(result.code, outcome.UNKNOWN)
+        self.assertEqual(len(result.value["daemons"]), 2)
 
-    async def test_dump_of_all_of_one_and_of_no_service(self):
+    async def test_dump_of_all_services_of_one_and_of_an_unknown_one(self):
         address = await self.open_admin(STATE)
         whole = await status.dump(reactor, address, None)
         self.assertEqual(whole.value, STATE)
@@ -72,5 +72,5 @@
         none = await status.dump(reactor, address, "no-such")
         self.assertEqual(none.code, outcome.REFUSED)
         silent = await self.find_silent_address()
-        end = await status.dump(reactor, silent, None)
-        self.assertEqual(end.code, outcome.UNKNOWN)
+        result = await status.dump(reactor, silent, None)
+        self.assertEqual(result.code, outcome.UNKNOWN)
--- a/tools/decisionslopes.py
+++ b/tools/decisionslopes.py
@@ -16,8 +16,8 @@
     """Measures one request's decisions by the endpoints to choose from."""
     points = []
     for count in (16, 64, 144):
-        made = _make_scheduler(count)
-        us = slope.time_us(lambda m=made: _serve(m), count=_REQUESTS)
+        instance = _make_scheduler(count)
+        us = slope.time_us(lambda m=instance: _run_requests(m), count=_REQUESTS)
         points.append((count, us))
     return [
         slope.Slope(
@@ -29,9 +29,9 @@
 
 
 def _make_scheduler(endpoints: int) -> scheduler.Scheduler:
-    made = scheduler.Scheduler(zone="z", rng=random.Random(1))
-    made.set_policies((work.ServicePolicy(service="grade", share=1.0),))
-    made.set_endpoints(
+    instance = scheduler.Scheduler(zone="z", rng=random.Random(1))
+    instance.set_policies((work.ServicePolicy(service="grade", share=1.0),))
+    instance.set_endpoints(
         tuple(
             work.Endpoint(
                 address=f"10.0.0.{number}:80",
@@ -44,13 +44,13 @@
         ),
         0.0,
     )
-    return made
+    return instance
 
 
-def _serve(made: scheduler.Scheduler) -> None:
+def _run_requests(instance: scheduler.Scheduler) -> None:
     for number in range(_REQUESTS):
         name = f"r-{number}"
-        decision = made.offer(
+        decision = instance.offer(
             work.Work(
                 request_id=name,
                 service="grade",
@@ -65,9 +65,9 @@
             raise RuntimeError(f"not placed: {decision}")
     for number in range(_REQUESTS):
         name = f"r-{number}"
-        made.first_token(name, 0.0)
-        made.tokens(name, 300, 0.0)
-        made.finished(name, "complete", 0.0)
+        instance.first_token(name, 0.0)
+        instance.tokens(name, 300, 0.0)
+        instance.finished(name, "complete", 0.0)
 
 
 def measure_metrics() -> list[slope.Slope]:
--- a/tools/documentchanges.py
+++ b/tools/documentchanges.py
@@ -59,7 +59,7 @@
         self.records.append(made)
         self._fold.apply(made)
 
-    def change(self, number: int, *, fraction: float) -> None:
+    def publish_change(self, number: int, *, fraction: float) -> None:
         team = f"team-{number % TEAMS}"
         text = self._example.replace("= pack-llm", f"= s-{number}")
         text = text.replace("= grading", f"= {team}")
@@ -67,7 +67,7 @@
         self.publish(f"s-{number}", team, text)
 
 
-def _fold(records: list[record.Record], start: bytes | None = None):
+def _fold_records(records: list[record.Record], start: bytes | None = None):
     fold = registry.Registry()
     if start is not None:
         fold.restore_snapshot(publication.parse_message(start).unwrap())
@@ -79,13 +79,14 @@
 def _print_size(name: str, fold: registry.Registry) -> None:
     started = time.process_time()
     body = publication.CODEC.serialize(fold.snapshot())
-    took_ms = (time.process_time() - started) * 1e3
+    elapsed_ms = (time.process_time() - started) * 1e3
     parts = checkpoint.serialize_checkpoint(
         fold.snapshot(), checkpoint_id="0" * 32
     )
-    restore_us = slope.time_us(lambda: _fold([], body))
+    restore_us = slope.time_us(lambda: _fold_records([], body))
     print(
-        f"{name}: snapshot {len(body)} bytes, serialized in {took_ms:.1f} ms, "
+        f"{name}: snapshot {len(body)} bytes, "
+        f"serialized in {elapsed_ms:.1f} ms, "
         f"taken over in {restore_us / 1e3:.1f} ms; checkpoint of "
         f"{len(parts)} parts, {sum(map(len, parts))} bytes, "
         f"the largest {max(map(len, parts))}"
@@ -94,36 +95,41 @@
 
 def main() -> None:
     """Measures and prints."""
-    random_ = random.Random(7)
+    rng = random.Random(7)
     fold = registry.Registry()
     stream = _Stream(fold)
     stream.publish(document.FLEET, "team-0", _fleet())
     for number in range(SERVICES):
-        stream.change(number, fraction=0.001)
+        stream.publish_change(number, fraction=0.001)
     first = publication.CODEC.serialize(fold.snapshot())
     before = len(stream.records)
     _print_size("first documents", fold)
     refused = 0
     for _ in range(CHANGES):
-        number = random_.randrange(SERVICES)
-        greedy = random_.random() < 0.05
-        refused += greedy
-        stream.change(number, fraction=0.9 if greedy else 0.001)
+        number = rng.randrange(SERVICES)
+        exceeds_share = rng.random() < 0.05
+        refused += exceeds_share
+        stream.publish_change(number, fraction=0.9 if exceeds_share else 0.001)
     changes = stream.records[before:]
     assert len(changes) == CHANGES
     print(f"a document: {len(stream.records[1].body)} bytes as a record")
-    restore_us = slope.time_us(lambda: _fold([], first))
+    restore_us = slope.time_us(lambda: _fold_records([], first))
     step_us = (
-        slope.time_us(lambda: _fold(changes, first)) - restore_us
+        slope.time_us(lambda: _fold_records(changes, first)) - restore_us
     ) / CHANGES
     print(f"{CHANGES} changes, {refused} refused: {step_us:.0f} us a step")
     _print_size("after the changes", fold)
     newest = fold.snapshot()
-    behind = [_fold(stream.records[:-1]) for _ in range(slope.REPEATS)]
-    heard_us = slope.time_us(lambda: behind.pop().restore_snapshot(newest))
-    print(f"taken over by a fold one change behind: {heard_us / 1e3:.1f} ms")
-    kept = slope.count_bytes(lambda: _fold(stream.records))
-    print(f"in memory: {kept} bytes, {kept / SERVICES:.0f} a service")
+    outdated = [
+        _fold_records(stream.records[:-1]) for _ in range(slope.REPEATS)
+    ]
+    catch_up_us = slope.time_us(lambda: outdated.pop().restore_snapshot(newest))
+    print(f"taken over by a fold one change behind: {catch_up_us / 1e3:.1f} ms")
+    retained_bytes = slope.count_bytes(lambda: _fold_records(stream.records))
+    print(
+        f"in memory: {retained_bytes} bytes, "
+        f"{retained_bytes / SERVICES:.0f} a service"
+    )
 
 
 if __name__ == "__main__":
--- a/tools/exchangecost.py
+++ b/tools/exchangecost.py
@@ -23,13 +23,13 @@
 BUSY_ENGINES = 12
 """Engines at which a host has something at a moment."""
 
-SETTLE_S = 3.0
-MEASURED_S = 5.0
+WARMUP_S = 3.0
+MEASUREMENT_S = 5.0
 STEP_S = 0.02
-BYTES_A_KB = 1000
+BYTES_PER_KB = 1000
 
 
-class Net:
+class Network:
     """Carries datagrams at once and counts them by sender."""
 
     def __init__(self):
@@ -37,7 +37,7 @@
         self.messages = collections.Counter()
         self.bytes = collections.Counter()
 
-    def carry(self, sender, data, address):
+    def deliver(self, sender, data, address):
         """Carries a datagram."""
         self.messages[sender] += 1
         self.bytes[sender] += len(data)
@@ -48,18 +48,18 @@
 class Transport:
     """One host's way into the network."""
 
-    net: Net
+    network: Network
     port: int
 
     def write(self, data, address):
         """Sends a datagram."""
-        self.net.carry(self.port, data, address)
+        self.network.deliver(self.port, data, address)
 
 
 class Host:
     """One host; what it has tells when it was read."""
 
-    def __init__(self, *, net, timers, port, zone, engines):
+    def __init__(self, *, network, timers, port, zone, engines):
         self.loads = peerloads.PeerLoads()
         name = f"front-{zone}-{port}"
         log = decisionlog.DecisionLog(host=name, write=len)
@@ -74,7 +74,7 @@
             log=log,
             on_broken=print,
         )
-        mine = [
+        own_engines = [
             f"i-{(port * 7 + n) % engines:08x}" for n in range(BUSY_ENGINES)
         ]
 
@@ -83,7 +83,7 @@
             share = peerloads.EngineShare(
                 queued_s={0: 0.1, 2: 0.4}, streams=1, tokens=9_000
             )
-            shares = dict.fromkeys(mine, share)
+            shares = dict.fromkeys(own_engines, share)
             tokens = round(timers.now * 1000)
             shares["age"] = peerloads.EngineShare(streams=1, tokens=tokens)
             return shares
@@ -99,8 +99,8 @@
             take_other=print,
             log=log,
         )
-        self.link.transport = Transport(net=net, port=port)
-        net.links[port] = self.link
+        self.link.transport = Transport(network=network, port=port)
+        network.links[port] = self.link
         self.record = topicreader.KeyedRecord(
             key=name,
             value=b'{"address":"127.0.0.1:%d","zone":"%s"}'
@@ -108,17 +108,17 @@
         )
 
 
-def play(count, zones, engines):
+def simulate(count, zones, engines):
     """Plays one size; returns ages, messages and bytes."""
     reactor = task.Clock()
     timers = clock.TimerService(
         reactor=reactor, on_broken=print, clock=reactor.seconds
     )
     timers._running = True
-    net = Net()
+    network = Network()
     hosts = [
         Host(
-            net=net,
+            network=network,
             timers=timers,
             port=port,
             zone=f"zone-{port % zones}",
@@ -130,21 +130,21 @@
         host.link.take_records(tuple(h.record for h in hosts))
         # Hosts start one after the other.
         timers.after(STEP_S * (number % 20), host.gossip.schedule)
-    ages, missing = [], []
-    steps = round((SETTLE_S + MEASURED_S) / STEP_S)
+    ages, unknown_hosts = [], []
+    steps = round((WARMUP_S + MEASUREMENT_S) / STEP_S)
     for step in range(steps):
         reactor.advance(STEP_S)
-        if step == round(SETTLE_S / STEP_S):
-            net.messages.clear()
-            net.bytes.clear()
-        if step * STEP_S > SETTLE_S and step % 25 == 0:
+        if step == round(WARMUP_S / STEP_S):
+            network.messages.clear()
+            network.bytes.clear()
+        if step * STEP_S > WARMUP_S and step % 25 == 0:
             for host in hosts[:: max(1, count // 20)]:
-                known = host.loads.at("age", timers.now)
-                missing.append(count - 1 - known.streams)
-                if known.streams:
-                    mean_ms = known.tokens / known.streams
+                load = host.loads.at("age", timers.now)
+                unknown_hosts.append(count - 1 - load.streams)
+                if load.streams:
+                    mean_ms = load.tokens / load.streams
                     ages.append(timers.now - mean_ms / 1000)
-    return ages, missing, net
+    return ages, unknown_hosts, network
 
 
 def main():
@@ -154,13 +154,15 @@
         " messages/s median, most | kB/s sent median, most"
     )
     for count, zones, engines in SIZES:
-        ages, missing, net = play(count, zones, engines)
-        messages = sorted(n / MEASURED_S for n in net.messages.values())
-        sent = sorted(n / MEASURED_S / BYTES_A_KB for n in net.bytes.values())
+        ages, unknown_hosts, network = simulate(count, zones, engines)
+        messages = sorted(n / MEASUREMENT_S for n in network.messages.values())
+        sent = sorted(
+            n / MEASUREMENT_S / BYTES_PER_KB for n in network.bytes.values()
+        )
         print(
             f"{count} {zones} {engines} |"
             f" {statistics.mean(ages):.2f}, {max(ages):.2f} |"
-            f" {statistics.mean(missing):.1f} |"
+            f" {statistics.mean(unknown_hosts):.1f} |"
             f" {statistics.median(messages):.0f}, {messages[-1]:.0f} |"
             f" {statistics.median(sent):.1f}, {sent[-1]:.1f}"
         )
--- a/tools/logslopes.py
+++ b/tools/logslopes.py
@@ -60,24 +60,26 @@
     ]
 
 
-def _fold(records: list[record.Record]) -> registry.Registry:
-    found = registry.Registry()
+def _fold_documents(records: list[record.Record]) -> registry.Registry:
+    fold = registry.Registry()
     for item in records:
-        found.apply(item)
-    if len(found.documents) != len(records) - 1:
+        fold.apply(item)
+    if len(fold.documents) != len(records) - 1:
         raise RuntimeError("a document was refused")
-    return found
+    return fold
 
 
 def measure_documents() -> list[slope.Slope]:
     """Measures the cost of accepted documents by their number."""
-    folds, keeps, sizes, restores = [], [], [], []
+    folds, memory_sizes, sizes, restores = [], [], [], []
     for count in (100, 300, 670):
         records = _make_records(count)
-        us = slope.time_us(lambda r=records: _fold(r))
+        us = slope.time_us(lambda r=records: _fold_documents(r))
         folds.append((count, us / 1000))
-        keeps.append((count, slope.count_bytes(lambda r=records: _fold(r))))
-        snapshot = _fold(records).snapshot()
+        memory_sizes.append(
+            (count, slope.count_bytes(lambda r=records: _fold_documents(r)))
+        )
+        snapshot = _fold_documents(records).snapshot()
         parts = checkpoint.serialize_checkpoint(snapshot, checkpoint_id="c")
         sizes.append((count, sum(map(len, parts))))
         us = slope.time_us(
@@ -93,7 +95,7 @@
         slope.Slope(
             name="documents in memory",
             unit="bytes a document",
-            points=(*keeps,),
+            points=(*memory_sizes,),
         ),
         slope.Slope(
             name="checkpoint or snapshot",
@@ -153,13 +155,13 @@
 
 def measure_claims() -> list[slope.Slope]:
     """Measures claims of once-only requests with their outcomes."""
-    sizes, folds, keeps = [], [], []
+    sizes, folds, memory_sizes = [], [], []
     for count in (1000, 3000, 10_000):
         records = _make_claims(count)
         sizes.append((count, sum(len(item.body) for item in records)))
         us = slope.time_us(lambda r=records: _fold_claims(r))
         folds.append((count, us))
-        keeps.append(
+        memory_sizes.append(
             (count, slope.count_bytes(lambda r=records: _fold_claims(r)))
         )
     return [
@@ -176,7 +178,7 @@
         slope.Slope(
             name="claims in memory for the life of a key",
             unit="bytes a request",
-            points=(*keeps,),
+            points=(*memory_sizes,),
         ),
     ]
 
--- a/tools/meshslopes.py
+++ b/tools/meshslopes.py
@@ -62,9 +62,9 @@
 
 
 def _make_host(
-    number: int, place: int, size: Size, kind: membership.Kind, service: str
+    number: int, position: int, size: Size, kind: membership.Kind, service: str
 ) -> membership.Host:
-    zone = place % size.zones
+    zone = position % size.zones
     ip = f"10.{number // 62500}.{number // 250 % 250}.{number % 250}"
     is_entry = kind is membership.Kind.ENTRY
     return membership.Host(
@@ -85,15 +85,17 @@
 
 def measure_host_lists() -> list[slope.Slope]:
     """Measures the cost of a host list by its hosts."""
-    sizes, parses, keeps = [], [], []
+    sizes, parse_times, memory_sizes = [], [], []
     for engines in (100, 700, 1800):
         hosts = make_hosts(attrs.evolve(SIZES[2], engines=engines))
         raw = _serialize_list(hosts)
         count = len(hosts)
         sizes.append((count, len(raw)))
         us = slope.time_us(lambda raw=raw: _accept(raw))
-        parses.append((count, us))
-        keeps.append((count, slope.count_bytes(lambda raw=raw: _accept(raw))))
+        parse_times.append((count, us))
+        memory_sizes.append(
+            (count, slope.count_bytes(lambda raw=raw: _accept(raw)))
+        )
     return [
         slope.Slope(
             name="host list on the wire", unit="bytes a host", points=(*sizes,)
@@ -101,10 +103,12 @@
         slope.Slope(
             name="host list parsed and put in force",
             unit="us a host",
-            points=(*parses,),
+            points=(*parse_times,),
         ),
         slope.Slope(
-            name="host list in memory", unit="bytes a host", points=(*keeps,)
+            name="host list in memory",
+            unit="bytes a host",
+            points=(*memory_sizes,),
         ),
     ]
 
@@ -122,10 +126,13 @@
 
 def measure_subsets() -> list[dict[str, object]]:
     """Measures other sizes of subsets at the target."""
-    kept = subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS
+    current = subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS
     rows = []
-    for own, spare in ((4, 2), (8, 2), (8, 4), kept):
-        subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS = own, spare
+    for own, other_zones in ((4, 2), (8, 2), (8, 4), current):
+        subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS = (
+            own,
+            other_zones,
+        )
         found = _measure_mesh(SIZES[2])
         wanted = (
             "ties a daemon",
@@ -134,7 +141,11 @@
             "loads bytes/s",
         )
         rows.append(
-            {"own zone": own, "spare": spare, **{k: found[k] for k in wanted}}
+            {
+                "own zone": own,
+                "spare": other_zones,
+                **{k: found[k] for k in wanted},
+            }
         )
     return rows
 
@@ -144,25 +155,27 @@
     subsets = subset.EndpointSubsets()
     own = hosts[0].address
 
-    def follow(listed: list[membership.Host]) -> None:
+    def update_subsets(listed: list[membership.Host]) -> None:
         subsets.update(listed)
         subsets.find_peers(own)
 
-    first_us = slope.time_us(lambda: _follow_anew(hosts, own))
-    follow(hosts)
+    first_us = slope.time_us(lambda: _build_subsets(hosts, own))
+    update_subsets(hosts)
     daemons = [h.address for h in hosts if h.kind is membership.Kind.ENTRY]
     before = {daemon: subsets.get_endpoints(daemon) for daemon in daemons}
     peer_counts = [len(subsets.find_peers(daemon)) for daemon in daemons]
-    tied = collections.Counter(e for x in before.values() for e in x)
-    change_us = slope.time_us(lambda: (follow(hosts[:-1]), follow(hosts)))
+    connected = collections.Counter(e for x in before.values() for e in x)
+    change_us = slope.time_us(
+        lambda: (update_subsets(hosts[:-1]), update_subsets(hosts))
+    )
     return {
         "daemons": size.daemons,
         "engines": size.engines,
         "ties a daemon": len(before[own]),
         "peers a daemon": f"{min(peer_counts)}-{max(peer_counts)}",
         "daemons an engine": (
-            f"{min(tied.values())}-{max(tied.values())}"
-            f" of {len(tied)} engines tied"
+            f"{min(connected.values())}-{max(connected.values())}"
+            f" of {len(connected)} engines tied"
         ),
         **_measure_churn(hosts, subsets, before),
         **_measure_loss(hosts, before),
@@ -172,7 +185,7 @@
     }
 
 
-def _follow_anew(hosts: list[membership.Host], own: str) -> None:
+def _build_subsets(hosts: list[membership.Host], own: str) -> None:
     subsets = subset.EndpointSubsets()
     subsets.update(hosts)
     subsets.find_peers(own)
@@ -185,19 +198,19 @@
 ) -> dict[str, object]:
     """Counts the ties that are new after one host is gone."""
     rng = random.Random(1)
-    moved = {}
+    new_connections = {}
     for kind in (membership.Kind.ENGINE, membership.Kind.ENTRY):
-        gone = rng.choice([host for host in hosts if host.kind is kind])
-        subsets.update([host for host in hosts if host is not gone])
-        moved[kind] = sum(
-            len(subsets.get_endpoints(daemon) - tied)
-            for daemon, tied in before.items()
-            if daemon != gone.address
+        removed = rng.choice([host for host in hosts if host.kind is kind])
+        subsets.update([host for host in hosts if host is not removed])
+        new_connections[kind] = sum(
+            len(subsets.get_endpoints(daemon) - connected)
+            for daemon, connected in before.items()
+            if daemon != removed.address
         )
     subsets.update(hosts)
     return {
-        "new ties for a lost engine": moved[membership.Kind.ENGINE],
-        "for a lost daemon": moved[membership.Kind.ENTRY],
+        "new ties for a lost engine": new_connections[membership.Kind.ENGINE],
+        "for a lost daemon": new_connections[membership.Kind.ENTRY],
         "of": sum(map(len, before.values())),
     }
 
@@ -207,21 +220,21 @@
 ) -> dict[str, object]:
     """Counts what daemons elsewhere have left when one zone is lost."""
     lost = hosts[0].zone
-    left = [host for host in hosts if host.zone != lost]
-    service_of = {h.address: h.service for h in left if h.service}
+    remaining = [host for host in hosts if host.zone != lost]
+    service_of = {h.address: h.service for h in remaining if h.service}
     services = set(service_of.values())
     after = subset.EndpointSubsets()
-    after.update(left)
+    after.update(remaining)
     fewest = {"before": [], "after": []}
-    for host in left:
+    for host in remaining:
         if host.kind is not membership.Kind.ENTRY:
             continue
-        for name, tied in (
+        for name, connected in (
             ("before", before[host.address]),
             ("after", after.get_endpoints(host.address)),
         ):
             counts = collections.Counter(
-                service_of[e] for e in tied if e in service_of
+                service_of[e] for e in connected if e in service_of
             )
             fewest[name].append(min(counts[s] for s in services))
     return {
@@ -263,14 +276,18 @@
 
 def measure_messages() -> list[slope.Slope]:
     """Measures the cost of a message of loads by its endpoints."""
-    sizes, sends, takes = [], [], []
+    sizes, send_times, receive_times = [], [], []
     for count in (10, 50, 144):
         endpoints = [f"10.0.{n // 250}.{n % 250}:8080" for n in range(count)]
         message = make_loads(endpoints)
         raw = peerview.serialize_message(message)
         sizes.append((count, len(raw)))
-        sends.append((count, slope.time_us(_repeat_send(endpoints), count=100)))
-        takes.append((count, slope.time_us(_repeat_take(raw), count=100)))
+        send_times.append(
+            (count, slope.time_us(_repeat_send(endpoints), count=100))
+        )
+        receive_times.append(
+            (count, slope.time_us(_repeat_receive(raw), count=100))
+        )
     return [
         slope.Slope(
             name="message of loads", unit="bytes an endpoint", points=(*sizes,)
@@ -278,12 +295,12 @@
         slope.Slope(
             name="loads made and serialized",
             unit="us an endpoint",
-            points=(*sends,),
+            points=(*send_times,),
         ),
         slope.Slope(
             name="loads parsed and judged",
             unit="us an endpoint",
-            points=(*takes,),
+            points=(*receive_times,),
         ),
     ]
 
@@ -321,12 +338,12 @@
     return send
 
 
-def _repeat_take(raw: bytes):
-    def take() -> None:
+def _repeat_receive(raw: bytes):
+    def receive() -> None:
         view = peerview.PeerView()
         for _ in range(100):
             message = peerview.parse_message(raw).unwrap()
             view.accept(message)
             peerview.read_loads(message)
 
-    return take
+    return receive
--- a/tools/processslopes.py
+++ b/tools/processslopes.py
@@ -36,7 +36,7 @@
 _RSS = "print([l for l in open('/proc/self/status') if 'VmRSS' in l][0])"
 _LOCAL = keys.Address(host="127.0.0.1", port=0)
 _WINDOW_S = 3.0
-_QUIET_S = 12.0
+_IDLE_S = 12.0
 
 
 def measure_processes() -> list[dict[str, object]]:
@@ -44,7 +44,7 @@
     rows = []
     for name, imports in _IMPORTS:
         code = f"{imports}\n{_RSS}"
-        ended = subprocess.run(
+        finished = subprocess.run(
             [sys.executable, "-c", code],
             env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
             capture_output=True,
@@ -52,7 +52,7 @@
             timeout=60,
             check=True,
         )
-        kib = int(ended.stdout.split()[1])
+        kib = int(finished.stdout.split()[1])
         rows.append({"imports": name, "MiB": round(kib / 1024, 1)})
     return rows
 
@@ -66,7 +66,7 @@
     metrics: metrics.Metrics
     loads: tuple[work.PeerLoad, ...] = ()
 
-    def know(self, addresses, endpoints) -> None:
+    def set_peers(self, addresses, endpoints) -> None:
         """Sets the peers, which share all the endpoints."""
         shared = frozenset(endpoints)
         found = tuple(
@@ -80,8 +80,8 @@
         call_soon=lambda call: reactor.callLater(0, call), on_broken=sys.exit
     )
     timers = clock.TimerService(reactor=reactor, on_broken=print)
-    meter = metrics.Metrics()
-    box: list[_Node] = []
+    node_metrics = metrics.Metrics()
+    nodes: list[_Node] = []
     service = peers.Peers(
         kernel=kernel,
         reactor=reactor,
@@ -89,7 +89,7 @@
         listen=_LOCAL,
         queue_messages=1000,
         loads_bytes_per_s=1e9,
-        read_loads=lambda: box[0].loads,
+        read_loads=lambda: nodes[0].loads,
         read_demands=lambda: (),
         listeners=peermessages.Listeners(
             on_loads=lambda peer, loads: None,
@@ -99,11 +99,11 @@
         ),
         rng=random.Random(seed),
     )
-    box.append(_Node(kernel=kernel, peers=service, metrics=meter))
-    for part in (timers, meter, service):
+    nodes.append(_Node(kernel=kernel, peers=service, metrics=node_metrics))
+    for part in (timers, node_metrics, service):
         kernel.register(part)
     await kernel.start()
-    return box[0]
+    return nodes[0]
 
 
 def _sleep(seconds: float) -> defer.Deferred:
@@ -114,8 +114,8 @@
     """Returns us of processor time a message, both ends together."""
     one, two = await _start_node(1), await _start_node(2)
     names = [f"10.0.0.{number}:80" for number in range(endpoints)]
-    one.know([two.peers.address], names)
-    two.know([one.peers.address], names)
+    one.set_peers([two.peers.address], names)
+    two.set_peers([one.peers.address], names)
     await _sleep(0.5)
     one.loads = tuple(
         work.PeerLoad(endpoint=name, running=2, kv_tokens=5200)
@@ -131,7 +131,7 @@
     return cpu_s / count * 1e6
 
 
-async def _measure_quiet(connections: int) -> float:
+async def _measure_idle_peers(connections: int) -> float:
     """Returns us of processor time a second with idle peers.
 
     The peers' ends are bare sockets in this process that answer heartbeats,
@@ -139,43 +139,47 @@
     """
     node = await _start_node(1)
     context = zmq.Context()
-    ends = [context.socket(zmq.ROUTER) for _ in range(connections)]
-    ports = [end.bind_to_random_port("tcp://127.0.0.1") for end in ends]
-    node.know([f"127.0.0.1:{port}" for port in ports], ())
+    sockets = [context.socket(zmq.ROUTER) for _ in range(connections)]
+    ports = [end.bind_to_random_port("tcp://127.0.0.1") for end in sockets]
+    node.set_peers([f"127.0.0.1:{port}" for port in ports], ())
     await _sleep(1.0)
     cpu_s = time.process_time()
-    await _sleep(_QUIET_S)
+    await _sleep(_IDLE_S)
     cpu_s = time.process_time() - cpu_s
     await node.kernel.stop()
-    for end in ends:
+    for end in sockets:
         end.close(linger=0)
     context.term()
-    return cpu_s / _QUIET_S * 1e6
+    return cpu_s / _IDLE_S * 1e6
 
 
-class _Meter(protocol.Protocol):
+class _CountingProxy(protocol.Protocol):
     """Counts the bytes that pass between a caller and a target."""
 
     def connectionMade(self):  # noqa: N802
         self.transport.pauseProducing()
         creator = protocol.ClientCreator(reactor, protocol.Protocol)
         target = keys.parse_address(self.factory.target)
-        creator.connectTCP(target.host, target.port).addCallback(self._join)
+        creator.connectTCP(target.host, target.port).addCallback(
+            self._start_forwarding
+        )
 
-    def _join(self, far):
-        self.far = far.transport
-        far.dataReceived = lambda data: self._pass(data, self.transport)
+    def _start_forwarding(self, connected):
+        self.target_transport = connected.transport
+        connected.dataReceived = lambda data: self._forward(
+            data, self.transport
+        )
         self.transport.resumeProducing()
 
-    def _pass(self, data, to):
+    def _forward(self, data, to):
         self.factory.count += len(data)
         to.write(data)
 
     def dataReceived(self, data):  # noqa: N802
-        self._pass(data, self.far)
+        self._forward(data, self.target_transport)
 
     def connectionLost(self, reason):  # noqa: N802
-        self.far.loseConnection()
+        self.target_transport.loseConnection()
 
 
 async def _measure_heartbeats(connections: int) -> float:
@@ -183,20 +187,20 @@
     node, other = await _start_node(1), await _start_node(2)
     factories, ports = [], []
     for _ in range(connections):
-        factory = protocol.Factory.forProtocol(_Meter)
+        factory = protocol.Factory.forProtocol(_CountingProxy)
         factory.target, factory.count = other.peers.address, 0
         factories.append(factory)
         ports.append(reactor.listenTCP(0, factory, interface="127.0.0.1"))
-    node.know([f"127.0.0.1:{port.getHost().port}" for port in ports], ())
+    node.set_peers([f"127.0.0.1:{port.getHost().port}" for port in ports], ())
     await _sleep(1.0)
     before = sum(factory.count for factory in factories)
-    await _sleep(_QUIET_S)
+    await _sleep(_IDLE_S)
     count = sum(factory.count for factory in factories) - before
     await node.kernel.stop()
     await other.kernel.stop()
     for port in ports:
         await port.stopListening()
-    return count / _QUIET_S
+    return count / _IDLE_S
 
 
 async def _measure_all() -> list[slope.Slope]:
@@ -204,7 +208,7 @@
     period_s, peers.LOADS_PERIOD_S = peers.LOADS_PERIOD_S, 0.002
     messages = [(n, await _measure_message(n)) for n in (10, 50, 144)]
     peers.LOADS_PERIOD_S = period_s
-    quiet = [(n, await _measure_quiet(n)) for n in (8, 32, 82)]
+    idle = [(n, await _measure_idle_peers(n)) for n in (8, 32, 82)]
     heartbeats = [(n, await _measure_heartbeats(n)) for n in (1, 4, 16)]
     return [
         slope.Slope(
@@ -215,7 +219,7 @@
         slope.Slope(
             name="processor time a second of idle connections, both ends",
             unit="us/s a connection",
-            points=(*quiet,),
+            points=(*idle,),
         ),
         slope.Slope(
             name="bytes a second, both ways, of idle connections (heartbeats"
@@ -228,15 +232,15 @@
 
 def measure_sockets() -> list[slope.Slope]:
     """Measures connections between peers on loopback."""
-    ends: list[object] = []
+    results: list[object] = []
 
     def start() -> None:
-        ending = defer.Deferred.fromCoroutine(_measure_all())
-        ending.addBoth(ends.append)
-        ending.addBoth(lambda _: reactor.stop())
+        deferred = defer.Deferred.fromCoroutine(_measure_all())
+        deferred.addBoth(results.append)
+        deferred.addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(start)
     reactor.run()
-    if not isinstance(ends[0], list):
-        ends[0].raiseException()
-    return ends[0]
+    if not isinstance(results[0], list):
+        results[0].raiseException()
+    return results[0]
--- a/tools/relaybench.py
+++ b/tools/relaybench.py
@@ -61,18 +61,20 @@
     tokens: int
 
 
-def _start(started: contextlib.ExitStack, *command: str) -> Any:
+def _start(exit_stack: contextlib.ExitStack, *command: str) -> Any:
     process = subprocess.Popen(
         [sys.executable, "-m", *command],
         stdout=subprocess.PIPE,
         stderr=subprocess.DEVNULL,
     )
-    started.callback(process.wait)
-    started.callback(process.terminate)
+    exit_stack.callback(process.wait)
+    exit_stack.callback(process.terminate)
     return process, json.loads(process.stdout.readline())
 
 
-async def _ask(address: str, model: str, tokens: int, number: int) -> Timing:
+async def _send_request(
+    address: str, model: str, tokens: int, number: int
+) -> Timing:
     host, port = address.split(":")
     body = json.dumps(
         {
@@ -82,12 +84,12 @@
             "stream": True,
         }
     ).encode()
-    begun_s = time.perf_counter()
+    started_s = time.perf_counter()
     reader, writer = await asyncio.open_connection(host, int(port))
     head = (
         f"POST /v1/completions HTTP/1.1\r\nHost: {address}\r\n"
         "Content-Type: application/json\r\nConnection: close\r\n"
-        f"X-Attempt-Id: bench-{number}-{begun_s}\r\n"
+        f"X-Attempt-Id: bench-{number}-{started_s}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     )
     writer.write(head.encode() + body)
@@ -95,11 +97,11 @@
     while chunk := await reader.read(65536):
         raw += chunk
         if not first_s and b"data: " in raw:
-            first_s = time.perf_counter() - begun_s
+            first_s = time.perf_counter() - started_s
     writer.close()
     if b"data: [DONE]" not in raw:
         raise RuntimeError(raw[-300:].decode(errors="replace"))
-    whole_s = time.perf_counter() - begun_s
+    whole_s = time.perf_counter() - started_s
     return Timing(
         first_s=first_s, whole_s=whole_s, tokens=raw.count(b"data: ") - 1
     )
@@ -108,13 +110,13 @@
 async def _load(
     address: str, model: str, *, requests: int, parallel: int, tokens: int
 ) -> list[Timing]:
-    free = asyncio.Semaphore(parallel)
+    permits = asyncio.Semaphore(parallel)
 
-    async def one(number: int) -> Timing:
-        async with free:
-            return await _ask(address, model, tokens, number)
+    async def send_one(number: int) -> Timing:
+        async with permits:
+            return await _send_request(address, model, tokens, number)
 
-    return list(await asyncio.gather(*(one(n) for n in range(requests))))
+    return list(await asyncio.gather(*(send_one(n) for n in range(requests))))
 
 
 def _cpu_s(pid: int) -> float:
@@ -136,7 +138,7 @@
 
 
 def _compare(engine: str, callers: str) -> None:
-    found = {}
+    percentiles = {}
     for name, address, model in (
         ("direct", engine, MODEL),
         ("daemon", callers, SERVICE),
@@ -150,12 +152,15 @@
                 tokens=TOKENS,
             )
         )
-        found[name] = (
+        percentiles[name] = (
             _percentiles([t.first_s for t in timings]),
             _percentiles([t.whole_s for t in timings]),
         )
     for part, title in ((0, "first token"), (1, "whole answer")):
-        direct, through = found["direct"][part], found["daemon"][part]
+        direct, through = (
+            percentiles["direct"][part],
+            percentiles["daemon"][part],
+        )
         print(
             f"{title}: direct p50 {direct[0]:.2f} ms, p99 {direct[1]:.2f} ms;"
             f" daemon p50 {through[0]:.2f} ms, p99 {through[1]:.2f} ms;"
@@ -169,7 +174,7 @@
 
     Prints what was measured.
     """
-    cpu_s, begun_s = _cpu_s(pid), time.perf_counter()
+    cpu_s, started_s = _cpu_s(pid), time.perf_counter()
     timings = asyncio.run(
         _load(
             callers,
@@ -179,13 +184,14 @@
             tokens=tokens,
         )
     )
-    cpu_s, took_s = _cpu_s(pid) - cpu_s, time.perf_counter() - begun_s
-    seen = sum(t.tokens for t in timings)
+    cpu_s, elapsed_s = _cpu_s(pid) - cpu_s, time.perf_counter() - started_s
+    token_count = sum(t.tokens for t in timings)
     print(
-        f"load: {len(timings)} requests, {seen} tokens in {took_s:.2f} s;"
+        f"load: {len(timings)} requests,"
+        f" {token_count} tokens in {elapsed_s:.2f} s;"
         f" daemon used {cpu_s:.2f} s of processor:"
         f" {len(timings) / cpu_s:.0f} requests and"
-        f" {seen / cpu_s:.0f} tokens a CPU second"
+        f" {token_count / cpu_s:.0f} tokens a CPU second"
     )
     return cpu_s / len(timings)
 
@@ -208,16 +214,18 @@
     at_rest = _rss_mib(pid)
 
     async def hold() -> tuple[float, int]:
-        asked = [
-            asyncio.ensure_future(_ask(ready["callers"], SERVICE, 1000, n))
+        requests = [
+            asyncio.ensure_future(
+                _send_request(ready["callers"], SERVICE, 1000, n)
+            )
             for n in range(OPEN_STREAMS)
         ]
         await asyncio.sleep(3)
         held = _rss_mib(pid)
         count = await asyncio.to_thread(_count_open, ready["admin"])
-        for each in asked:
-            each.cancel()
-        await asyncio.gather(*asked, return_exceptions=True)
+        for item in requests:
+            item.cancel()
+        await asyncio.gather(*requests, return_exceptions=True)
         return held, count
 
     held, count = asyncio.run(hold())
@@ -242,12 +250,12 @@
 
 def _list_hosts(host_list: str, engines: list[str]) -> None:
     listed = {"hosts": [_list_host(address) for address in engines]}
-    put = urllib.request.Request(
+    request = urllib.request.Request(
         f"http://{host_list}/hosts",
         method="PUT",
         data=json.dumps(listed).encode(),
     )
-    urllib.request.urlopen(put).read()
+    urllib.request.urlopen(request).read()
 
 
 def _list_host(address: str) -> dict[str, Any]:
@@ -265,14 +273,17 @@
 
 def main() -> None:
     """Runs the whole measurement once."""
-    with contextlib.ExitStack() as started, tempfile.TemporaryDirectory() as t:
+    with (
+        contextlib.ExitStack() as exit_stack,
+        tempfile.TemporaryDirectory() as t,
+    ):
         standins = "bulrushgrade_standins"
-        _, log = _start(started, standins, "log")
-        _, hosts = _start(started, standins, "hosts")
+        _, log = _start(exit_stack, standins, "log")
+        _, hosts = _start(exit_stack, standins, "hosts")
         options = ["--model", MODEL, "--slots", "512", "--queue", "2000"]
         options += ["--step-s", "0.005", "--prefill-tokens-per-s", "1000000"]
         engines = [
-            _start(started, standins, "engine", *options)[1]["address"]
+            _start(exit_stack, standins, "engine", *options)[1]["address"]
             for _ in range(3)
         ]
         # One engine for the comparison: with more, the daemon would share the
@@ -283,7 +294,7 @@
             SETTINGS.format(log=log["address"], hosts=hosts["address"])
         )
         daemon, ready = _start(
-            started, "bulrushgrade_daemon", "--settings", str(path)
+            exit_stack, "bulrushgrade_daemon", "--settings", str(path)
         )
         _publish(log["address"])
         time.sleep(2)
--- a/tools/slope.py
+++ b/tools/slope.py
@@ -31,9 +31,9 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    rise = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return mean_y - rise * mean_x, rise
+    squares = sum((x - mean_x) ** 2 for x, _ in points)
+    rate = sum((x - mean_x) * (y - mean_y) for x, y in points) / squares
+    return mean_y - rate * mean_x, rate
 
 
 def time_us(work: Callable[[], Any], *, count: int = 1) -> float:
@@ -58,9 +58,9 @@
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = make()
+    retained = make()
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -18,11 +18,13 @@
 
 def print_slopes(slopes: Sequence[slope.Slope]) -> None:
     """Prints a line for each slope: what it costs more, base and points."""
-    for found in slopes:
-        base, rise = slope.fit(found.points)
-        points = "  ".join(f"{x:g}: {y:.4g}" for x, y in found.points)
-        print(f"{found.name}")
-        print(f"    {rise:.4g} {found.unit}, base {base:.4g}   ({points})")
+    for measured in slopes:
+        intercept, rate = slope.fit(measured.points)
+        points = "  ".join(f"{x:g}: {y:.4g}" for x, y in measured.points)
+        print(f"{measured.name}")
+        print(
+            f"    {rate:.4g} {measured.unit}, base {intercept:.4g}   ({points})"
+        )
 
 
 def print_rows(heading: str, rows: Sequence[dict[str, object]]) -> None:
