--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,8 @@
-"""Settings shared by every test of the workspace."""
+"""Pytest configuration shared by all packages.
+
+Registers the hypothesis profiles and marks the tests listed in KNOWN-RED.txt
+as expected failures.
+"""
 
 import os
 import pathlib
@@ -18,7 +22,7 @@
 
 
 def _read_known_red() -> dict[str, str]:
-    """Returns the tests that may fail for a known fault, with their lines."""
+    """Maps each test listed in KNOWN-RED.txt to its whole line."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -26,7 +30,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Lets the listed tests fail; they run like all others."""
+    """Marks the listed tests as non-strict expected failures."""
     known = _read_known_red()
     for item in items:
         line = known.get(item.nodeid)
@@ -35,6 +39,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Prints what may fail, whether it did or not."""
+    """Prints every listed test, whether it failed or passed."""
     for line in _read_known_red().values():
         terminalreporter.write_line(f"KNOWN RED: {line}")
--- a/examples/embed_admission.py
+++ b/examples/embed_admission.py
@@ -1,9 +1,9 @@
-"""How a program of its own embeds the decisions under load, without sockets.
+"""Embeds admission and scheduling in a program, without sockets.
 
 Run it with the library on the path; it needs no network and no clock. One
-engine with room for two requests meets five of them at once. A real program
-calls the same methods from its HTTP handlers, and puts a monotonic clock in
-place of `now`; what it has to call when is in `bulrushgrade.scheduler`.
+engine with two slots receives five requests at once. A real program calls the
+same methods from its HTTP handlers and passes the time of a monotonic clock;
+`bulrushgrade.scheduler` documents which method to call when.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 
 def make_scheduler() -> scheduler.Scheduler:
-    """Returns a scheduler that knows one service and one engine."""
+    """Returns a scheduler with one service and one engine."""
     instance = scheduler.Scheduler(zone="gebze-a", rng=random.Random(1))
     instance.set_policies((work.ServicePolicy(service=SERVICE, share=1.0),))
     engine = work.Endpoint(
@@ -39,8 +39,8 @@
 
     Args:
         request_id: Unique among open requests.
-        output_tokens: The expected length of its answer.
-        deadline_s: Seconds until the whole answer has to be there.
+        output_tokens: The expected length of the answer.
+        deadline_s: Seconds within which the answer must be complete.
     """
     return work.Work(
         request_id=request_id,
@@ -53,7 +53,7 @@
 
 
 def describe(decision: work.Decision) -> str:
-    """Returns a decision as a line for a person."""
+    """Formats a decision as a line of text."""
     match decision:
         case work.Placed():
             outcome = f"goes to {decision.endpoint}"
@@ -65,23 +65,24 @@
 
 
 def main() -> list[str]:
-    """Offers five requests, ends one, and polls for what that frees."""
+    """Offers five requests, finishes one, and polls for new decisions."""
     instance = make_scheduler()
     offers = [
         make_work("grade-1", output_tokens=50, deadline_s=30.0),
         make_work("grade-2", output_tokens=50, deadline_s=30.0),
         make_work("grade-3", output_tokens=50, deadline_s=30.0),
         make_work("chat-1", output_tokens=50, deadline_s=10.0),
-        # Longer than any engine could generate in its time: told at once.
+        # No engine can generate this by its deadline: refused immediately.
         make_work("hopeless", output_tokens=9000, deadline_s=2.0),
     ]
     lines = [describe(instance.offer(item, 0.0)) for item in offers]
     instance.first_token("grade-1", 0.2)
     instance.tokens("grade-1", 50, 1.0)
     instance.finished("grade-1", "complete", 1.0)
-    # What has to start first goes first, whatever came first.
+    # Queued requests start in the order of their latest start times, not of
+    # arrival.
     lines += [describe(decision) for decision in instance.poll(1.0)]
-    # A caller that leaves frees what it held or waited for.
+    # A disconnected caller frees its slot or its place in the queue.
     instance.cancel("grade-2", 1.5)
     lines += [describe(decision) for decision in instance.poll(1.5)]
     return lines
--- a/examples/embed_lease.py
+++ b/examples/embed_lease.py
@@ -1,8 +1,9 @@
-"""How a program of its own embeds the lease: two candidates, one log.
+"""Embeds the lease in a program: two candidates share one log.
 
-Run it with the library on the path; it needs no network and no clock. The
-log is the model in `bulrushgrade.fakelog`; a real program puts its client of
-the log service there and a clock that counts suspend in place of `now`.
+Run it with the library on the path; it needs no network and no clock. The log
+is the in-memory one of `bulrushgrade.fakelog`; a real program uses a client of
+the log service, and passes the time of a clock that also runs while the
+machine is suspended.
 """
 
 import itertools
@@ -14,7 +15,7 @@
 
 
 class Candidate:
-    """A process that wants authority over the group ``pack-llm``."""
+    """A process that competes for the lease of the group ``pack-llm``."""
 
     def __init__(self, *, name: str, rank: int, log: fakelog.FakeLog):
         serial = itertools.count()
@@ -29,14 +30,14 @@
         )
 
     def run_step(self, now: float) -> None:
-        """Reads what is new, and appends what is due."""
+        """Applies new records of the log and appends those that are due."""
         page = self._log.read(self._lease.stream, self._lease.next_offset)
         self._lease.apply_page(page, now)
         for append in self._lease.tick(now):
             self._log.append(append)
 
     def do_work(self, now: float) -> str:
-        """Does what only the holder may do, if it is the holder now."""
+        """Does work that requires the lease, if this candidate holds it."""
         if not self._lease.holds_lease(now):
             return ""
         return f"{self.name} acts under term {self._lease.term}"
--- a/examples/measure_authority.py
+++ b/examples/measure_authority.py
@@ -1,8 +1,8 @@
-"""Measures leases and once-only claims; prints lines for the docs.
+"""Measures leases and once-only claims, and prints figures for the docs.
 
-Times without a holder are virtual: candidates with a tick of 0.1 s, appends
-that take effect after 20 ms and are read after 50 ms more. Costs are of this
-machine's processor.
+Times without a holder are simulated: candidates tick every 0.1 s, and appends
+take effect after 20 ms and are read 50 ms later. Costs are measured as elapsed
+time on this machine.
 """
 
 import itertools
@@ -28,7 +28,7 @@
 
 
 class _Group:
-    """Three candidates of one group over a log with delays."""
+    """Three candidates of one group that share a log with delays."""
 
     def __init__(self, *, times: lease.LeaseTimes, rng: random.Random):
         serial = itertools.count()
@@ -134,7 +134,7 @@
     cost = _cost_us(lambda item: order_tracker.apply(item, 0.0), items)
     print(f"OrderTracker with its Lease, a renewal: {cost:.1f} us")
     cost = _cost_us(lambda now: view.holds_lease(now), [0.0] * STEPS)
-    print(f"Lease.acting: {cost:.2f} us")
+    print(f"Lease.holds_lease: {cost:.2f} us")
 
 
 def _order_costs() -> None:
@@ -200,7 +200,7 @@
 
 
 def main() -> None:
-    """Prints all figures."""
+    """Runs all measurements and prints the figures."""
     for ttl_s in (3.0, 6.0, 12.0):
         for planned in (False, True):
             median, worst, claims = _measure_failover(ttl_s, planned)
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/__init__.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line for operators."""
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
@@ -1,6 +1,7 @@
-"""The binary ``bulrushgrade``: the operators' commands.
+"""Entry point of ``bulrushgrade``, the command line for operators.
 
-Exit codes: 0 done, 1 refused with the reason, 2 usage, 3 outcome unknown.
+Exit codes: 0 done, 1 refused (the reason is printed), 2 usage error, 3 outcome
+unknown.
 """
 
 from typing import Annotated
@@ -48,10 +49,10 @@
         envvar=LOG_VARIABLE,
         parser=_parse_address,
         metavar="IP:PORT",
-        help="The log service.",
+        help="Address of the log service.",
     ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="For a program to read.")]
+Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 File = Annotated[str, typer.Argument(metavar="FILE.ini")]
 Service = Annotated[
     str, typer.Argument(help="A service, or 'fleet' for the fleet's document.")
@@ -72,7 +73,7 @@
 
 @app.command()
 def check(file: File, json: Json = False) -> None:
-    """Checks a service's or the fleet's document and names every error."""
+    """Checks the document of a service or the fleet and lists every error."""
     _print_and_exit(checking.check(file), json)
 
 
@@ -90,7 +91,7 @@
     ] = None,
     json: Json = False,
 ) -> None:
-    """Publishes a document and reads back whether it was accepted."""
+    """Publishes a document and reports whether it was accepted."""
     read = checking.read_draft(file)
     if isinstance(read, Failure):
         _print_and_exit(read.failure(), json)
@@ -116,7 +117,7 @@
 
 @app.command()
 def history(service: Service, log: Log, json: Json = False) -> None:
-    """Shows the newest publishes of a service and what became of them."""
+    """Shows the latest publishes of a service and their verdicts."""
 
     async def command(reactor):
         client = logclient.LogClient(reactor=reactor, address=log)
@@ -139,7 +140,7 @@
     ],
     json: Json = False,
 ) -> None:
-    """Shows a line for each daemon."""
+    """Shows the status of each daemon in one line."""
     _print_and_exit(
         running.run(lambda r: status_module.show_status(r, admin)), json
     )
@@ -155,7 +156,7 @@
     ] = None,
     json: Json = False,
 ) -> None:
-    """Shows the state of a daemon, by its admin address."""
+    """Shows the state of the daemon at an admin address."""
     _print_and_exit(
         running.run(lambda r: status_module.dump(r, address, service)), json
     )
@@ -163,8 +164,8 @@
 
 @app.command()
 def replay(trace: str, json: Json = False) -> None:
-    """Replays a recorded trace and shows what came of it."""
-    # The replay brings in the simulated engines, which no other command needs.
+    """Replays a recorded trace and shows the resulting figures."""
+    # Imported here: only this command needs the simulated engines.
     from bulrushgrade_cli import replaying
 
     _print_and_exit(replaying.replay_trace(trace, json=json), json)
@@ -177,12 +178,13 @@
         typer.Option(
             parser=_parse_listen_address,
             metavar="IP:PORT",
-            help="Where callers reach the daemon; port 0 takes a free one.",
+            help="Address on which the daemon accepts callers; "
+            "port 0 picks a free port.",
         ),
     ] = "127.0.0.1:8080",
 ) -> None:
     """Runs the whole system in this process until Ctrl-C."""
-    # The demo brings in the daemon and every stand-in.
+    # Imported here: only this command needs the daemon and all stand-ins.
     from bulrushgrade_cli import demo as demo_module
 
     _print_and_exit(demo_module.run_demo(listen), json=False)
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/checking.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/checking.py
@@ -1,4 +1,4 @@
-"""Reads a document from a file and checks it as a daemon would."""
+"""Reads a document from a file and validates it as a daemon does."""
 
 import re
 
@@ -16,13 +16,13 @@
 
 @attrs.frozen(kw_only=True)
 class Draft:
-    """A valid document that may be published.
+    """A valid document that can be published.
 
     Attributes:
         service: The service, or `document.FLEET`.
-        team: The team that it names as its owner.
-        text: The document.
-        validation: The number of the rules that it is written for.
+        team: The owning team named in the document.
+        text: The text of the document.
+        validation: The version of the validation rules it is written for.
     """
 
     service: str
@@ -32,7 +32,7 @@
 
 
 def read_text(path: str) -> Result[str, outcome.Outcome]:
-    """Returns the text of a file, or why it can't be had."""
+    """Returns the text of a file, or a usage error if it can't be read."""
     try:
         with open(path, encoding="utf-8") as stream:
             return Success(stream.read())
@@ -45,11 +45,11 @@
 
 
 def parse_draft(text: str, *, source: str) -> Result[Draft, outcome.Outcome]:
-    """Returns the document in a text, or every error in it.
+    """Parses a document and returns it, or all errors found in it.
 
     Args:
-        text: A service document or the fleet's.
-        source: What errors name as the file.
+        text: The document of a service or of the fleet.
+        source: The file name to use in error messages.
     """
     if _FLEET_SECTION.search(text):
         parsed = fleet.parse_fleet(text, source=source)
@@ -71,12 +71,12 @@
 
 
 def read_draft(path: str) -> Result[Draft, outcome.Outcome]:
-    """Returns the document in a file, or why there is none."""
+    """Reads and parses the document in a file."""
     return read_text(path).bind(lambda text: parse_draft(text, source=path))
 
 
 def check(path: str) -> outcome.Outcome:
-    """Checks a document; nothing is sent anywhere."""
+    """Validates the document in a file without publishing it."""
     parsed_file = read_draft(path)
     if isinstance(parsed_file, Failure):
         return parsed_file.failure()
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
@@ -1,7 +1,8 @@
-"""Runs the whole system in one process, on embedded stand-ins.
+"""Runs the whole system in one process, with embedded stand-ins.
 
-Log service, host list, weight store, two engines, a plain service and one
-daemon share a reactor; they talk over loopback as separate processes would.
+The log service, host list, weight store, two engines, a plain service and one
+daemon share a reactor and communicate over loopback sockets, as separate
+processes would.
 """
 
 import json
@@ -41,12 +42,12 @@
 
 @attrs.define(kw_only=True)
 class _System:
-    """What the demo has opened.
+    """The running parts of the demo.
 
     Attributes:
-        listeners: The stand-ins by name; engines carry their roles.
+        listeners: The stand-ins by name; an engine's name is its role.
         daemon: The daemon.
-        broken: Fires with the reason when the daemon breaks.
+        broken: Fires with the reason when the daemon fails.
     """
 
     listeners: dict[str, server.Listener]
@@ -54,7 +55,7 @@
     broken: defer.Deferred
 
     async def stop(self) -> None:
-        """Stops the daemon, which finishes its requests, then the rest."""
+        """Stops the daemon after its open requests, then the stand-ins."""
         await self.daemon.kernel.stop()
         for listener in self.listeners.values():
             await listener.stop()
@@ -64,7 +65,7 @@
     """Runs the demo until Ctrl-C.
 
     Args:
-        listen: Where callers reach the daemon, IP:PORT.
+        listen: Address on which the daemon accepts callers, IP:PORT.
     """
     stopped = outcome.Outcome(
         code=outcome.DONE, text="stopped", value={"done": True}
@@ -84,7 +85,7 @@
             f" {error.socketError.strerror}; --listen takes another address"
         )
 
-    # Ctrl-C stops the reactor; the requests in flight are finished first.
+    # Ctrl-C stops the reactor; requests in flight must finish before that.
     reactor.addSystemEventTrigger(
         "before",
         "shutdown",
@@ -107,7 +108,7 @@
 def _start_standins(
     reactor: Any,
 ) -> dict[str, server.Listener]:
-    """Starts the stand-ins; the host list is empty yet."""
+    """Starts the stand-ins and fills the host list."""
     hosts = hostlist.HostList()
     listeners = {
         "log": server.serve(app=log.LogService().app),
@@ -164,7 +165,7 @@
             host_list=keys.parse_address(listeners["hosts"].address),
             weight_store=keys.parse_address(listeners["weights"].address),
         ),
-        # No balancer stands before the demo, so none lags.
+        # No load balancer needs time to notice that the daemon stops.
         limits=settings_module.Limits(stop_grace_s=0.0, drain_limit_s=30.0),
     )
     daemon = host.build(
@@ -176,10 +177,10 @@
 def format_instructions(
     daemon: host.Daemon, listeners: dict[str, server.Listener]
 ) -> str:
-    """Returns what to try, for a person.
+    """Returns the addresses and example commands that the demo prints.
 
     Args:
-        daemon: The daemon, started.
+        daemon: The started daemon.
         listeners: The stand-ins by name.
     """
     callers, admin = daemon.callers.address, daemon.admin.address
@@ -191,7 +192,7 @@
             "stream": True,
         }
     )
-    # As it lies in the environment that runs this, which need not be active.
+    # The path of the script in this environment, which may not be active.
     command = os.path.relpath(
         os.path.join(os.path.dirname(sys.executable), "bulrushgrade")
     )
@@ -215,7 +216,7 @@
 
 
 def _format_stop_instruction() -> str:
-    # A shell starts its background jobs so that they ignore the signal.
+    # A shell starts background jobs with SIGINT ignored.
     if signal.getsignal(signal.SIGINT) is signal.SIG_IGN:
         return "Ctrl-C is ignored in this process; SIGTERM stops it."
     return "Ctrl-C stops it."
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/demodocuments.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/demodocuments.py
@@ -1,4 +1,4 @@
-"""The documents that the demo publishes."""
+"""Service and fleet documents that the demo publishes."""
 
 MODEL = "grade-large"
 VERSION = "1"
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/outcome.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/outcome.py
@@ -1,4 +1,4 @@
-"""What a command came to: an exit code, a text and a value for programs."""
+"""The outcome of a command: exit code, text, and value for JSON output."""
 
 from typing import Any
 
@@ -13,14 +13,14 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """The end of one command.
+    """The outcome of one command.
 
     Attributes:
         code: The exit code.
-        text: For a person; goes to standard output when done, else to
-            standard error.
-        value: For a program, ready for JSON.
-        note: A remark for a person that is no part of the text.
+        text: Text for a person; printed to standard error if the command was
+            refused or used wrongly, else to standard output.
+        value: The value to print as JSON for a program.
+        note: A remark for a person, printed to standard error.
     """
 
     code: int
@@ -30,18 +30,18 @@
 
 
 def refuse(reason: str, **value: Any) -> Outcome:
-    """Returns that a command was refused and changed nothing."""
+    """Returns the outcome of a refused command, which changed nothing."""
     value = {"done": False, "reason": reason, **value}
     return Outcome(code=REFUSED, text=reason, value=value)
 
 
 def report_unknown(reason: str, **value: Any) -> Outcome:
-    """Returns that a command may or may not have taken effect."""
+    """Returns the outcome of a command that may or may not have had effect."""
     value = {"done": None, "reason": reason, **value}
     return Outcome(code=UNKNOWN, text=reason, value=value)
 
 
 def serialize_value(value: Any) -> str:
-    """Returns a value as JSON for a program that reads the output."""
+    """Serializes a value as indented JSON with sorted keys."""
     raw = msgspec.json.encode(value, order="sorted")
     return msgspec.json.format(raw, indent=2).decode()
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
@@ -1,9 +1,9 @@
-"""Publishes a document and reads back what became of it.
+"""Publishes a document and reads its verdict back from the log.
 
-The log may be slow or away, and an append can take effect while its answer is
-lost. Nothing is guessed from a lost answer: the stream is read back until it
-shows the record, and the record is sent again under the same id, of which the
-fold ignores a second copy.
+The log may be slow or unavailable, and an append can take effect although its
+answer is lost. So a lost answer counts neither as success nor as failure: the
+stream is read until the record appears, and the record is appended again with
+the same id, of which the fold ignores the second copy.
 """
 
 import random
@@ -22,22 +22,22 @@
 from bulrushgrade_cli import reading
 from bulrushgrade_daemon import logclient
 
-# How long the outcome is sought. The log's short outages pass in this time,
-# and an operator still waits for it in front of the screen.
+# Long enough to outlast short outages of the log, and short enough for an
+# operator who waits at the terminal.
 TIMEOUT_S = 20.0
 RETRY_PAUSE_RANGE_S = (0.1, 0.5)
 
 
 @attrs.define(kw_only=True)
 class _Attempt:
-    """One publish on its way.
+    """The state of one publish.
 
     Attributes:
         draft: The document.
-        append: The record, the same each time that it is sent.
+        append: The record, identical in every attempt.
         base: The revision that the document was edited from.
-        maybe_stored: Whether some append may have taken effect.
-        reason: Why the last step did not go through.
+        maybe_stored: Whether an append may have taken effect.
+        reason: Why the outcome was not known after the last attempt.
     """
 
     draft: checking.Draft
@@ -55,15 +55,15 @@
     base: int | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> outcome.Outcome:
-    """Publishes a document, unless it is in force already.
+    """Publishes a document unless it is already in force.
 
     Args:
-        reactor: For pauses between tries.
+        reactor: The reactor, for pauses between attempts.
         log: The log service.
         draft: The document.
-        base: The revision that it was edited from; None takes the one that
-            is accepted now.
-        timeout_s: How long the outcome is sought.
+        base: The revision that it was edited from; None means the currently
+            accepted one.
+        timeout_s: How long to wait for the verdict.
     """
     fold = registry.Registry()
     read = await reading.catch_up(log, fold)
@@ -74,7 +74,8 @@
     accepted = fold.accepted_revision(draft.service)
     current = None if accepted is None else accepted.offset
     if base is not None and base != current:
-        # Accepted revisions only go up, so the base can't come back.
+        # Offsets of accepted revisions only grow, so the base can't be
+        # accepted again.
         current_text = "none" if current is None else current
         reason = f"edited from {base}, accepted is {current_text}"
         return outcome.refuse(
@@ -112,7 +113,7 @@
     attempt: _Attempt,
     timeout_s: float,
 ) -> outcome.Outcome:
-    """Appends and reads back until the verdict is known or time is up."""
+    """Appends and reads until the verdict is known or the timeout passes."""
     deadline = reactor.seconds() + timeout_s
     send = True
     while True:
@@ -122,8 +123,8 @@
         result = _find_outcome(fold, attempt)
         if result is not None:
             return result
-        # Sent again only once a read to the end has not shown the record: a
-        # copy does no harm, but a log that is only slow needs no more load.
+        # Append again only if a read up to the end did not show the record. A
+        # copy is harmless, but would add load to a log that is merely slow.
         send = not isinstance(read, Failure)
         attempt.reason = "the record is not on the log"
         if isinstance(read, Failure):
@@ -183,7 +184,7 @@
     fold: registry.Registry, draft: checking.Draft, how: str
 ) -> outcome.Outcome:
     accepted = fold.accepted_revision(draft.service)
-    # By now a later publish may have replaced it; the verdict still stands.
+    # A later publish may have replaced it; the verdict is still valid.
     revision = None if accepted is None else accepted.offset
     return outcome.Outcome(
         code=outcome.DONE,
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/reading.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/reading.py
@@ -1,4 +1,4 @@
-"""Reads the accepted documents off the log and shows them."""
+"""Reads accepted documents and the publish history from the log."""
 
 from typing import Any
 
@@ -16,14 +16,14 @@
 async def catch_up(
     log: logclient.LogClient, fold: registry.Registry
 ) -> Result[registry.Registry, str]:
-    """Folds all that is on the log into a registry.
+    """Applies all records of the log that are new to a registry.
 
     Args:
         log: The log service.
-        fold: The registry, empty or folded in part.
+        fold: The registry, empty or already advanced by earlier records.
 
     Returns:
-        The registry, or why it can't be told what is accepted.
+        The registry, or why the accepted documents can't be determined.
     """
     while True:
         offset = fold.read_offset
@@ -34,7 +34,8 @@
         fold.observe_earliest_offset(page.earliest_offset)
         for item in page.records:
             fold.apply(item)
-        # A record that this release can't judge holds the fold where it is.
+        # The fold doesn't advance past a record with validation rules that
+        # this release lacks.
         is_blocked = fold.read_offset == offset
         if is_blocked or fold.read_offset >= page.end_offset:
             break
@@ -68,7 +69,7 @@
 async def list_history(
     log: logclient.LogClient, service: str
 ) -> outcome.Outcome:
-    """Returns the newest publishes of a service and what became of them."""
+    """Returns the latest publishes of a service and their verdicts."""
     read = await catch_up(log, registry.Registry())
     if isinstance(read, Failure):
         return outcome.report_unknown(read.failure())
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/replaying.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/replaying.py
@@ -1,4 +1,4 @@
-"""Replays a recorded trace through the decisions."""
+"""Replays a recorded trace through the scheduling decisions."""
 
 import pathlib
 
@@ -13,8 +13,8 @@
 
     Args:
         path: The trace's file.
-        json: Whether they are for a program; a replay takes seconds, so the
-            figures are made for one reader only.
+        json: Whether to return JSON instead of text; a replay takes seconds,
+            so only one of the two is produced.
     """
     try:
         text = replay.replay_file(pathlib.Path(path), json=json)
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/running.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/running.py
@@ -1,4 +1,4 @@
-"""Runs one command in the reactor, to its end or to Ctrl-C."""
+"""Runs one command in the reactor until it finishes or Ctrl-C."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -17,16 +17,16 @@
     *,
     interrupted: outcome.Outcome = INTERRUPTED,
 ) -> outcome.Outcome:
-    """Returns what a command came to.
+    """Runs a command and returns its outcome.
 
     Args:
-        command: Started with the reactor once that runs.
-        interrupted: What Ctrl-C or SIGTERM comes to.
+        command: Called with the reactor once the reactor runs.
+        interrupted: The outcome to return after Ctrl-C or SIGTERM.
 
     Raises:
-        Exception: Whatever the command raised, a fault of the program.
+        Exception: Any exception that the command raised.
     """
-    # Imported late: commands that need no reactor don't install one.
+    # Imported here so that commands without a reactor don't install one.
     from twisted.internet import reactor
 
     results: list[Any] = []
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/status.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/status.py
@@ -1,4 +1,4 @@
-"""Asks daemons for their state, and sums it up for a person."""
+"""Fetches the state of daemons and summarizes it."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -30,11 +30,11 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What a daemon answered.
+    """A daemon's HTTP answer.
 
     Attributes:
-        code: The HTTP status.
-        value: The JSON in it.
+        code: The HTTP status code.
+        value: The decoded JSON body.
     """
 
     code: int
@@ -42,7 +42,11 @@
 
 
 async def fetch(reactor: Any, address: str, path: str) -> Result[Answer, str]:
-    """Returns a daemon's answer on its admin address, or why there is none."""
+    """Fetches a path from a daemon's admin address.
+
+    Returns:
+        The answer, or why there is none.
+    """
     client = httpclient.open_client(reactor, persistent=False)
 
     async def get() -> Answer:
@@ -80,15 +84,15 @@
 async def show_status(
     reactor: Any, addresses: Sequence[str]
 ) -> outcome.Outcome:
-    """Returns a line for each daemon.
+    """Returns the status of each daemon in one line.
 
     Args:
         reactor: The reactor.
         addresses: The daemons' admin addresses.
 
     Returns:
-        Done when all are ready, refused when one says that it is not, and
-        unknown when one did not answer.
+        Done if all are ready, refused if one reports that it is not ready, and
+        unknown if one did not answer.
     """
     fetched = await defer.gatherResults(
         [
@@ -116,7 +120,7 @@
     if isinstance(fetched, Failure):
         return {**row, "ready": "no answer", "reason": fetched.failure()}
     state = fetched.unwrap().value
-    # A daemon of another release may lack a part; its column stays empty.
+    # A daemon of another release may lack a section; use defaults then.
     callers = state.get("callers", {})
     documents = state.get("documents", {})
     placing = state.get("placing", {})
--- a/packages/bulrushgrade_cli/tests/test_checking.py
+++ b/packages/bulrushgrade_cli/tests/test_checking.py
@@ -1,4 +1,4 @@
-"""Tests of checking a document."""
+"""Tests of validating a document file."""
 
 from bulrushgrade_cli import checking
 from bulrushgrade_cli import demodocuments
--- a/packages/bulrushgrade_cli/tests/test_demo.py
+++ b/packages/bulrushgrade_cli/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Tests of the demo as a process of its own."""
+"""Tests of the demo in a separate process."""
 
 import http.client
 import json
@@ -22,7 +22,7 @@
 
 
 def start_demo(sigint_handler):
-    """Starts the demo with a way to take SIGINT, whatever is inherited."""
+    """Starts the demo with a given SIGINT handler, not the inherited one."""
     command = [sys.executable, "-m", "bulrushgrade_cli", "demo"]
     return subprocess.Popen(
         [*command, "--listen", "127.0.0.1:0"],
@@ -58,8 +58,8 @@
 
 
 def test_ctrl_c_finishes_the_answer_under_way_and_exits_0(demo):
-    # A first-time user would see a broken answer and an error. Ctrl-C came
-    # while an answer was streamed, and the stand-ins stopped before it ended.
+    # Guards against stand-ins that stop before the daemon has finished a
+    # streamed answer: Ctrl-C would then break the answer and print an error.
     lines = read_until(demo.stdout, "Ctrl-C")
     (callers,) = (x.split("//")[1] for x in lines if x.startswith("callers"))
     plain = processes.call("GET", callers.strip(), "/services/portal-app/rooms")
@@ -85,9 +85,10 @@
 
 
 def test_demo_that_ignores_sigint_names_sigterm():
-    """A shell's background job ignores SIGINT, and so does what it starts.
+    """The demo must not offer Ctrl-C where SIGINT is ignored.
 
-    The demo told of Ctrl-C, which never arrived.
+    A shell starts background jobs with SIGINT ignored, and child processes
+    inherit that, so Ctrl-C would have no effect.
     """
     popen = start_demo(signal.SIG_IGN)
     try:
@@ -100,10 +101,10 @@
 
 
 def test_address_in_use_is_reported_in_one_line():
-    """Another program listens where the demo wants to.
+    """The listen address of the demo is used by another program.
 
-    A first-time user would see a traceback through the reactor, with nothing
-    in it about which address to change and how.
+    Guards against a traceback through the reactor that doesn't say which
+    address to change, or how.
     """
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
--- a/packages/bulrushgrade_cli/tests/test_main.py
+++ b/packages/bulrushgrade_cli/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the command line as a process of its own."""
+"""Tests of the command line in a separate process."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 def run(*arguments):
-    """Returns the finished process of one command."""
+    """Runs one command and returns the completed process."""
     return subprocess.run(
         [sys.executable, "-m", "bulrushgrade_cli", *arguments],
         env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
--- a/packages/bulrushgrade_cli/tests/test_pages.py
+++ b/packages/bulrushgrade_cli/tests/test_pages.py
@@ -1,4 +1,8 @@
-"""The pages name what is there: links, commands, make targets, tests."""
+"""Checks the documentation against the repository.
+
+Links, commands, options, make targets and tests that the pages name must
+exist. Also checks module docstrings and imports between packages.
+"""
 
 import ast
 import pathlib
@@ -18,7 +22,7 @@
     "python -m bulrushgrade_standins": typer.main.get_command(standins.app),
 }
 
-# As CONTRIBUTING.md has it.
+# The allowed imports between packages, as CONTRIBUTING.md lists them.
 ALLOWED_IMPORTS = {
     "bulrushgrade": set(),
     "bulrushgrade_daemon": {"bulrushgrade"},
@@ -28,7 +32,7 @@
     },
 }  # fmt: skip
 
-# Words of the platform that only its adapter may know.
+# Platform-specific terms, which only the platform adapter may use.
 PLATFORM_TERMS = re.compile(
     r"x-(?:kv-|not-executed|expect-|prompt-prefix|serving-stage)"
     r"|kv-(?:fetch|events|handle)|log-(?:read|newest|append)|keyed\.",
@@ -37,7 +41,7 @@
 
 
 def _read_commands(page):
-    """Yields the lines of a page's indented and fenced blocks."""
+    """Yields the lines of the indented and fenced code blocks of a page."""
     fenced = False
     for line in page.read_text().splitlines():
         if line.startswith("```"):
--- a/packages/bulrushgrade_cli/tests/test_publishing.py
+++ b/packages/bulrushgrade_cli/tests/test_publishing.py
@@ -1,4 +1,4 @@
-"""Tests of publishing against the log stand-in."""
+"""Tests of publishing with the log stand-in."""
 
 from twisted.internet import defer
 from twisted.internet import reactor
@@ -30,7 +30,7 @@
 
 
 class PublishingTest(unittest.TestCase):
-    """One log service in the process."""
+    """Publishes to a log service in this process."""
 
     timeout = 30
 
@@ -107,9 +107,9 @@
         self.assertEqual(result.value["code"], "wrong_team")
 
     async def test_lost_answer_is_resolved_by_reading_back(self):
-        # An operator would publish once more, or believe a change missing
-        # that is in force. The log took the record and its connection broke
-        # before the answer; only the stream tells what happened.
+        # The log stores the record and the connection breaks before the
+        # answer, so only the stream shows the outcome. Guards against a
+        # failure report for a change that is in force, or a second publish.
         await self.publish_all()
         self.service.set_faults(log_standin.LogFaults(lose_answers=1))
         result = await self.publish(FASTER)
@@ -131,8 +131,8 @@
         self.assertEqual(shown.code, outcome.UNKNOWN)
 
     async def test_outage_after_the_append_is_reported_as_unknown(self):
-        # The log takes the record, goes away before it answers, and stays
-        # away: neither "published" nor "not published" would be honest.
+        # The log stores the record, fails before it answers, and stays
+        # unavailable: neither "published" nor "not published" is certain.
         append = self.log.append
 
         async def append_and_lose(stream, appends):
--- a/packages/bulrushgrade_cli/tests/test_status.py
+++ b/packages/bulrushgrade_cli/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of asking daemons for their state."""
+"""Tests of fetching the state of daemons."""
 
 from twisted.internet import defer
 from twisted.internet import reactor
@@ -22,7 +22,7 @@
 
 
 class StatusTest(unittest.TestCase):
-    """The admin service of daemons, with made-up state."""
+    """Queries admin services that serve a fixed state."""
 
     timeout = 30
 
--- a/tools/decisionslopes.py
+++ b/tools/decisionslopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the decisions under load and of metrics."""
+"""Measures how scheduling and metrics costs grow with their size."""
 
 import random
 
@@ -8,12 +8,12 @@
 from bulrushgrade import work
 from bulrushgrade_daemon import metrics
 
-# Few enough that the smallest set of endpoints takes them without a queue.
+# Few enough that the smallest set of endpoints places all without queueing.
 _REQUESTS = 100
 
 
 def measure_decisions() -> list[slope.Slope]:
-    """Measures one request's decisions by the endpoints to choose from."""
+    """Measures the cost of one request by the number of endpoints."""
     points = []
     for count in (16, 64, 144):
         instance = _make_scheduler(count)
@@ -71,7 +71,7 @@
 
 
 def measure_metrics() -> list[slope.Slope]:
-    """Measures rendering by the number of series, half of them histograms."""
+    """Measures rendering by the number of metrics, half of them histograms."""
     times, sizes = [], []
     for count in (50, 200, 800):
         service = metrics.Metrics()
--- a/tools/documentchanges.py
+++ b/tools/documentchanges.py
@@ -1,8 +1,8 @@
-"""The fold of documents at the target's size: a day of changes.
+"""Measures the fold of documents over a day of changes at the target size.
 
-670 services of 134 teams with documents of a usual length, then 2,800 changes
-of random services, of which some are refused. Prints the cost of a step, of a
-snapshot and of a checkpoint.
+Publishes documents of typical length for 670 services of 134 teams, then 2,800
+changes of random services, some of which are refused. Prints the cost of
+folding one change, of a snapshot and of a checkpoint.
 """
 
 import pathlib
@@ -87,14 +87,14 @@
     print(
         f"{name}: snapshot {len(body)} bytes, "
         f"serialized in {elapsed_ms:.1f} ms, "
-        f"taken over in {restore_us / 1e3:.1f} ms; checkpoint of "
+        f"restored in {restore_us / 1e3:.1f} ms; checkpoint of "
         f"{len(parts)} parts, {sum(map(len, parts))} bytes, "
         f"the largest {max(map(len, parts))}"
     )
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Runs the measurement and prints the figures."""
     rng = random.Random(7)
     fold = registry.Registry()
     stream = _Stream(fold)
@@ -124,7 +124,7 @@
         _fold_records(stream.records[:-1]) for _ in range(slope.REPEATS)
     ]
     catch_up_us = slope.time_us(lambda: outdated.pop().restore_snapshot(newest))
-    print(f"taken over by a fold one change behind: {catch_up_us / 1e3:.1f} ms")
+    print(f"restored by a fold one change behind: {catch_up_us / 1e3:.1f} ms")
     retained_bytes = slope.count_bytes(lambda: _fold_records(stream.records))
     print(
         f"in memory: {retained_bytes} bytes, "
--- a/tools/exchangecost.py
+++ b/tools/exchangecost.py
@@ -1,7 +1,7 @@
-"""Plays the exchange of loads at several sizes and prints what it costs.
+"""Simulates the exchange of loads at several sizes and prints its cost.
 
-The real modules run in one process on a clock under control; a network in
-memory counts what each host sends. Usage: python tools/exchangecost.py
+The production modules run in one process on a simulated clock; an in-memory
+network counts what each host sends. Usage: python tools/exchangecost.py
 """
 
 import collections
@@ -18,10 +18,10 @@
 from bulrushgrade_daemon import topicreader
 
 SIZES = ((9, 4, 9), (63, 3, 60), (195, 6, 74), (330, 12, 1800))
-"""Hosts, availability zones, engines."""
+"""Numbers of hosts, availability zones and engines of each simulation."""
 
 BUSY_ENGINES = 12
-"""Engines at which a host has something at a moment."""
+"""Number of engines at which a host has work at any moment."""
 
 WARMUP_S = 3.0
 MEASUREMENT_S = 5.0
@@ -30,7 +30,7 @@
 
 
 class Network:
-    """Carries datagrams at once and counts them by sender."""
+    """Delivers datagrams immediately and counts them by sender."""
 
     def __init__(self):
         self.links = {}
@@ -38,7 +38,7 @@
         self.bytes = collections.Counter()
 
     def deliver(self, sender, data, address):
-        """Carries a datagram."""
+        """Delivers a datagram and counts its bytes."""
         self.messages[sender] += 1
         self.bytes[sender] += len(data)
         self.links[address[1]].datagramReceived(data, ("127.0.0.1", sender))
@@ -46,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class Transport:
-    """One host's way into the network."""
+    """The datagram transport of one host."""
 
     network: Network
     port: int
@@ -57,7 +57,7 @@
 
 
 class Host:
-    """One host; what it has tells when it was read."""
+    """One host, whose reported load encodes when it was read."""
 
     def __init__(self, *, network, timers, port, zone, engines):
         self.loads = peerloads.PeerLoads()
@@ -79,7 +79,8 @@
         ]
 
         def read_own():
-            # Milliseconds of the clock, so that a sum tells its mean age.
+            # The clock in milliseconds as a token count, so that the mean age
+            # of a sum can be computed.
             share = peerloads.EngineShare(
                 queued_s={0: 0.1, 2: 0.4}, streams=1, tokens=9_000
             )
@@ -109,7 +110,12 @@
 
 
 def simulate(count, zones, engines):
-    """Plays one size; returns ages, messages and bytes."""
+    """Simulates one size.
+
+    Returns:
+        The mean ages of received sums in seconds, the numbers of hosts missing
+        in them, and the network with its counters.
+    """
     reactor = task.Clock()
     timers = clock.TimerService(
         reactor=reactor, on_broken=print, clock=reactor.seconds
@@ -128,7 +134,7 @@
     ]
     for number, host in enumerate(hosts):
         host.link.take_records(tuple(h.record for h in hosts))
-        # Hosts start one after the other.
+        # Staggers the hosts' starts.
         timers.after(STEP_S * (number % 20), host.gossip.schedule)
     ages, unknown_hosts = [], []
     steps = round((WARMUP_S + MEASUREMENT_S) / STEP_S)
@@ -148,7 +154,7 @@
 
 
 def main():
-    """Prints a row a size."""
+    """Prints one row per size."""
     print(
         "hosts zones engines | age s mean, most | unknown hosts, mean |"
         " messages/s median, most | kB/s sent median, most"
--- a/tools/logslopes.py
+++ b/tools/logslopes.py
@@ -1,4 +1,4 @@
-"""Slopes of what is folded off the log: documents, leases, claims."""
+"""Measures the cost of folding documents, leases and claims from the log."""
 
 import slope
 
@@ -70,7 +70,7 @@
 
 
 def measure_documents() -> list[slope.Slope]:
-    """Measures the cost of accepted documents by their number."""
+    """Measures time, memory and snapshot size by the number of documents."""
     folds, memory_sizes, sizes, restores = [], [], [], []
     for count in (100, 300, 670):
         records = _make_records(count)
@@ -103,7 +103,7 @@
             points=(*sizes,),
         ),
         slope.Slope(
-            name="snapshot taken over",
+            name="snapshot restored",
             unit="ms a document",
             points=(*restores,),
         ),
@@ -111,7 +111,7 @@
 
 
 def measure_leases() -> list[slope.Slope]:
-    """Measures the fold of a lease that is renewed."""
+    """Measures size and folding time of lease renewals by their number."""
     sizes, folds = [], []
     for count in (100, 1000, 5000):
         records = _make_renewals(count)
@@ -154,7 +154,7 @@
 
 
 def measure_claims() -> list[slope.Slope]:
-    """Measures claims of once-only requests with their outcomes."""
+    """Measures claims of once-only requests and their outcomes by number."""
     sizes, folds, memory_sizes = [], [], []
     for count in (1000, 3000, 10_000):
         records = _make_claims(count)
--- a/tools/meshslopes.py
+++ b/tools/meshslopes.py
@@ -1,4 +1,4 @@
-"""Slopes of membership, subsets and what peers tell each other."""
+"""Measures the cost of membership, subsets and messages between peers."""
 
 import collections
 import random
@@ -20,9 +20,9 @@
     Attributes:
         daemons: Entry hosts.
         engines: Model engines.
-        models: Model services, engines dealt out among them.
+        models: Model services; engines are distributed evenly among them.
         zones: Availability zones.
-        regions: Regions, zones dealt out among them.
+        regions: Regions; zones are distributed evenly among them.
     """
 
     daemons: int
@@ -37,13 +37,13 @@
     Size(daemons=50, engines=270, models=9, zones=12, regions=4),
     Size(daemons=330, engines=1800, models=9, zones=12, regions=4),
 )
-# Requests that a daemon has in flight at the target: 2,900 requests/s over
-# 330 daemons, each some 10 s long.
+# Requests in flight per daemon at the target size: 2,900 requests/s over 330
+# daemons, each request taking about 10 s.
 IN_FLIGHT = 88
 
 
 def make_hosts(size: Size) -> list[membership.Host]:
-    """Returns the host list of a deployment, dealt out evenly."""
+    """Returns the host list of a deployment, evenly spread over the zones."""
     hosts = [
         _make_host(number, number, size, membership.Kind.ENTRY, "")
         for number in range(size.daemons)
@@ -84,7 +84,7 @@
 
 
 def measure_host_lists() -> list[slope.Slope]:
-    """Measures the cost of a host list by its hosts."""
+    """Measures size, parsing time and memory by the number of hosts."""
     sizes, parse_times, memory_sizes = [], [], []
     for engines in (100, 700, 1800):
         hosts = make_hosts(attrs.evolve(SIZES[2], engines=engines))
@@ -120,12 +120,12 @@
 
 
 def measure_meshes() -> list[dict[str, object]]:
-    """Measures subsets, balance, churn, coverage and bytes at each size."""
+    """Measures subsets, balance, churn, coverage and traffic at each size."""
     return [_measure_mesh(size) for size in SIZES]
 
 
 def measure_subsets() -> list[dict[str, object]]:
-    """Measures other sizes of subsets at the target."""
+    """Measures other subset sizes at the target size."""
     current = subset.OWN_ZONE_ENDPOINTS, subset.OTHER_ZONE_ENDPOINTS
     rows = []
     for own, other_zones in ((4, 2), (8, 2), (8, 4), current):
@@ -135,7 +135,7 @@
         )
         found = _measure_mesh(SIZES[2])
         wanted = (
-            "ties a daemon",
+            "endpoints a daemon",
             "peers a daemon",
             "daemons an engine",
             "loads bytes/s",
@@ -171,11 +171,11 @@
     return {
         "daemons": size.daemons,
         "engines": size.engines,
-        "ties a daemon": len(before[own]),
+        "endpoints a daemon": len(before[own]),
         "peers a daemon": f"{min(peer_counts)}-{max(peer_counts)}",
         "daemons an engine": (
             f"{min(connected.values())}-{max(connected.values())}"
-            f" of {len(connected)} engines tied"
+            f" of {len(connected)} engines connected"
         ),
         **_measure_churn(hosts, subsets, before),
         **_measure_loss(hosts, before),
@@ -196,7 +196,7 @@
     subsets: subset.EndpointSubsets,
     before: dict[str, frozenset[str]],
 ) -> dict[str, object]:
-    """Counts the ties that are new after one host is gone."""
+    """Counts the new connections after one host is removed."""
     rng = random.Random(1)
     new_connections = {}
     for kind in (membership.Kind.ENGINE, membership.Kind.ENTRY):
@@ -209,7 +209,9 @@
         )
     subsets.update(hosts)
     return {
-        "new ties for a lost engine": new_connections[membership.Kind.ENGINE],
+        "new connections for a lost engine": new_connections[
+            membership.Kind.ENGINE
+        ],
         "for a lost daemon": new_connections[membership.Kind.ENTRY],
         "of": sum(map(len, before.values())),
     }
@@ -218,7 +220,7 @@
 def _measure_loss(
     hosts: list[membership.Host], before: dict[str, frozenset[str]]
 ) -> dict[str, object]:
-    """Counts what daemons elsewhere have left when one zone is lost."""
+    """Counts the engines left to daemons of other zones if a zone is lost."""
     lost = hosts[0].zone
     remaining = [host for host in hosts if host.zone != lost]
     service_of = {h.address: h.service for h in remaining if h.service}
@@ -244,7 +246,7 @@
 
 
 def make_loads(endpoints: list[str]) -> peerview.Loads:
-    """Returns a message with typical figures for some endpoints."""
+    """Returns a loads message with typical values for some endpoints."""
     header = peerview.Header(
         sender="10.0.0.1:7070", incarnation=2**52, sequence=100_000
     )
@@ -263,7 +265,7 @@
 
 
 def _count_loads_bytes(own: str, subsets: subset.EndpointSubsets) -> float:
-    """Returns the bytes a second of one busy daemon's unpaced loads."""
+    """Returns the bytes per second of a busy daemon's unthrottled loads."""
     rng = random.Random(1)
     endpoints = sorted(subsets.get_endpoints(own))
     busy = set(rng.choices(endpoints, k=IN_FLIGHT))
@@ -275,7 +277,7 @@
 
 
 def measure_messages() -> list[slope.Slope]:
-    """Measures the cost of a message of loads by its endpoints."""
+    """Measures size and CPU time of loads messages by their endpoints."""
     sizes, send_times, receive_times = [], [], []
     for count in (10, 50, 144):
         endpoints = [f"10.0.{n // 250}.{n % 250}:8080" for n in range(count)]
@@ -298,7 +300,7 @@
             points=(*send_times,),
         ),
         slope.Slope(
-            name="loads parsed and judged",
+            name="loads parsed and accepted",
             unit="us an endpoint",
             points=(*receive_times,),
         ),
@@ -306,7 +308,7 @@
 
 
 def measure_demands() -> list[slope.Slope]:
-    """Measures the message of demands by its models."""
+    """Measures the size of demands messages by their models."""
     points = []
     for count in (1, 4, 9):
         message = peerview.Demands(
--- a/tools/processslopes.py
+++ b/tools/processslopes.py
@@ -1,4 +1,4 @@
-"""What a process costs at rest, and connections between processes."""
+"""Measures the memory of an idle process and the cost of peer connections."""
 
 import os
 import random
@@ -40,7 +40,7 @@
 
 
 def measure_processes() -> list[dict[str, object]]:
-    """Measures the memory of a process that has only imported."""
+    """Measures the memory of a process that has only imported modules."""
     rows = []
     for name, imports in _IMPORTS:
         code = f"{imports}\n{_RSS}"
@@ -59,7 +59,7 @@
 
 @attrs.define(kw_only=True)
 class _Node:
-    """A peers service in this process."""
+    """A peers service in this process, with its kernel and metrics."""
 
     kernel: kernel_module.Kernel
     peers: peers.Peers
@@ -67,7 +67,7 @@
     loads: tuple[work.PeerLoad, ...] = ()
 
     def set_peers(self, addresses, endpoints) -> None:
-        """Sets the peers, which share all the endpoints."""
+        """Sets the peers; all of them share all the endpoints."""
         shared = frozenset(endpoints)
         found = tuple(
             peermessages.Peer(address=a, shared=shared) for a in addresses
@@ -111,7 +111,7 @@
 
 
 async def _measure_message(endpoints: int) -> float:
-    """Returns us of processor time a message, both ends together."""
+    """Returns the CPU time per message in us, for both ends together."""
     one, two = await _start_node(1), await _start_node(2)
     names = [f"10.0.0.{number}:80" for number in range(endpoints)]
     one.set_peers([two.peers.address], names)
@@ -132,10 +132,10 @@
 
 
 async def _measure_idle_peers(connections: int) -> float:
-    """Returns us of processor time a second with idle peers.
+    """Returns the CPU time per second in us with idle peers.
 
-    The peers' ends are bare sockets in this process that answer heartbeats,
-    so the figure holds both ends of each connection.
+    The peers are bare sockets in this process that answer heartbeats, so the
+    figure includes both ends of each connection.
     """
     node = await _start_node(1)
     context = zmq.Context()
@@ -154,7 +154,7 @@
 
 
 class _CountingProxy(protocol.Protocol):
-    """Counts the bytes that pass between a caller and a target."""
+    """Forwards between a client and a target, and counts the bytes."""
 
     def connectionMade(self):  # noqa: N802
         self.transport.pauseProducing()
@@ -183,7 +183,7 @@
 
 
 async def _measure_heartbeats(connections: int) -> float:
-    """Returns bytes a second, both ways, on idle connections."""
+    """Returns the bytes per second, both ways, on idle connections."""
     node, other = await _start_node(1), await _start_node(2)
     factories, ports = [], []
     for _ in range(connections):
@@ -204,7 +204,8 @@
 
 
 async def _measure_all() -> list[slope.Slope]:
-    # Much shorter than in use, so that messages and not waits are measured.
+    # Much shorter than in production, so that messages dominate the figure
+    # and not waiting.
     period_s, peers.LOADS_PERIOD_S = peers.LOADS_PERIOD_S, 0.002
     messages = [(n, await _measure_message(n)) for n in (10, 50, 144)]
     peers.LOADS_PERIOD_S = period_s
@@ -231,7 +232,7 @@
 
 
 def measure_sockets() -> list[slope.Slope]:
-    """Measures connections between peers on loopback."""
+    """Measures messages and idle connections between peers on loopback."""
     results: list[object] = []
 
     def start() -> None:
--- a/tools/relaybench.py
+++ b/tools/relaybench.py
@@ -1,9 +1,9 @@
-"""Measures what the daemon's relay costs against the engine called directly.
+"""Benchmarks the daemon's relay against direct calls to an engine.
 
 Starts the stand-ins and one daemon as processes on loopback, sends the same
-load to an engine and through the daemon in one run, and prints the added
-latency, the daemon's processor time a token and its memory. Bounded: it ends
-by itself after about a minute.
+load to an engine directly and through the daemon, and prints the added
+latency, the daemon's CPU time per token and its memory. Exits by itself after
+about a minute.
 """
 
 import asyncio
@@ -54,7 +54,13 @@
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """One answer: seconds to its first token and its end, and its tokens."""
+    """Timing of one answer.
+
+    Attributes:
+        first_s: Seconds to the first token.
+        whole_s: Seconds to the end of the answer.
+        tokens: The number of tokens received.
+    """
 
     first_s: float
     whole_s: float
@@ -170,9 +176,9 @@
 
 
 def _saturate(callers: str, pid: int, tokens: int) -> float:
-    """Returns the daemon's processor seconds for a request of so many tokens.
+    """Returns the daemon's CPU seconds per request of some number of tokens.
 
-    Prints what was measured.
+    Prints the throughput that was measured.
     """
     cpu_s, started_s = _cpu_s(pid), time.perf_counter()
     timings = asyncio.run(
@@ -189,7 +195,7 @@
     print(
         f"load: {len(timings)} requests,"
         f" {token_count} tokens in {elapsed_s:.2f} s;"
-        f" daemon used {cpu_s:.2f} s of processor:"
+        f" daemon used {cpu_s:.2f} s of CPU time:"
         f" {len(timings) / cpu_s:.0f} requests and"
         f" {token_count / cpu_s:.0f} tokens a CPU second"
     )
@@ -201,7 +207,7 @@
     line = statistics.linear_regression(LOAD_TOKENS, points)
     print(
         f"slope: {line.intercept * 1e3:.2f} ms a request and"
-        f" {line.slope * 1e6:.0f} us a token of the daemon's processor"
+        f" {line.slope * 1e6:.0f} us a token of the daemon's CPU time"
     )
 
 
@@ -272,7 +278,7 @@
 
 
 def main() -> None:
-    """Runs the whole measurement once."""
+    """Starts the system and runs all measurements once."""
     with (
         contextlib.ExitStack() as exit_stack,
         tempfile.TemporaryDirectory() as t,
@@ -286,8 +292,8 @@
             _start(exit_stack, standins, "engine", *options)[1]["address"]
             for _ in range(3)
         ]
-        # One engine for the comparison: with more, the daemon would share the
-        # load out and seem faster than a direct call.
+        # Compare with one engine only: with more, the daemon would spread the
+        # load and appear faster than direct calls.
         _list_hosts(hosts["address"], engines[:1])
         path = pathlib.Path(t) / "bench.ini"
         path.write_text(
--- a/tools/slope.py
+++ b/tools/slope.py
@@ -1,4 +1,4 @@
-"""Slopes: measured points and the line through them."""
+"""Measures how a cost grows with a size, and fits a line to it."""
 
 from collections.abc import Callable
 import gc
@@ -13,11 +13,11 @@
 
 @attrs.frozen(kw_only=True)
 class Slope:
-    """Measured points of one cost.
+    """Measured costs at several sizes.
 
     Attributes:
         name: What was measured.
-        unit: Of the rise, such as ``bytes an entry``.
+        unit: The unit of the slope, such as ``bytes an entry``.
         points: Pairs of a size and the cost at that size.
     """
 
@@ -27,7 +27,7 @@
 
 
 def fit(points: tuple[tuple[float, float], ...]) -> tuple[float, float]:
-    """Returns base and rise of the line of least squares."""
+    """Returns the intercept and slope of the least-squares line."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -37,11 +37,11 @@
 
 
 def time_us(work: Callable[[], Any], *, count: int = 1) -> float:
-    """Returns the least processor time of some runs, in us a unit of work.
+    """Returns the minimum CPU time of several runs, in us per unit of work.
 
     Args:
-        work: What is run.
-        count: How many units one run does.
+        work: The function to run.
+        count: The number of units of work that one run does.
     """
     best_s = min(_time_s(work) for _ in range(REPEATS))
     return best_s / count * 1e6
@@ -54,7 +54,7 @@
 
 
 def count_bytes(make: Callable[[], Any]) -> int:
-    """Returns the memory that a made object keeps, in bytes."""
+    """Returns the memory that a created object retains, in bytes."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,9 +1,9 @@
-"""Prints the slopes that docs/CAPACITY.md is worked out from.
+"""Prints the measured cost slopes on which docs/CAPACITY.md is based.
 
-Run it from the root of the repository, with the packages installed:
-``python tools/slopes.py``. It takes about two minutes, most of them waiting,
-opens sockets on loopback only and ends by itself. Figures of time depend on
-the machine; figures of bytes do not.
+Run it from the root of the repository with the packages installed:
+``python tools/slopes.py``. It takes about two minutes, mostly waiting, opens
+sockets on loopback only and exits by itself. Times depend on the machine;
+sizes in bytes do not.
 """
 
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 
 def print_slopes(slopes: Sequence[slope.Slope]) -> None:
-    """Prints a line for each slope: what it costs more, base and points."""
+    """Prints the slope, intercept and measured points of each cost."""
     for measured in slopes:
         intercept, rate = slope.fit(measured.points)
         points = "  ".join(f"{x:g}: {y:.4g}" for x, y in measured.points)
@@ -28,7 +28,7 @@
 
 
 def print_rows(heading: str, rows: Sequence[dict[str, object]]) -> None:
-    """Prints rows of figures under a heading."""
+    """Prints each row as one line of names and values under a heading."""
     print(f"\n{heading}")
     for row in rows:
         print(
@@ -37,7 +37,7 @@
 
 
 def main() -> None:
-    """Measures and prints everything."""
+    """Runs all measurements and prints the results."""
     print(f"Python {platform.python_version()} on {platform.machine()}")
     print_rows("A process at rest", processslopes.measure_processes())
     print("\nMembership and subsets")
