--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/claims.py
@@ -143,8 +143,8 @@
 
         Args:
             job: The request, with its key.
-            attempt: Runs the request; calls `job.may_write` right before it
-                writes to the endpoint.
+            attempt: Runs the request; calls `job.acquire_permit` right before
+                it writes to the endpoint.
 
         Returns:
             The answer, from this run or an earlier one, or a refusal.
@@ -201,9 +201,11 @@
         if not isinstance(decision, oncedecision.Run):
             self._append(view.abandon(claim_id, self._timers.now))
             return self._respond(decision)
-        job.may_write = lambda: view.start(claim_id, self._timers.now)
-        job.turned_away = lambda: view.mark_not_started(claim_id)
-        job.may_retry = lambda: view.may_start(claim_id, self._timers.now)
+        job.acquire_permit = lambda: view.start(claim_id, self._timers.now)
+        job.release_permit = lambda: view.mark_not_started(claim_id)
+        job.is_permit_available = lambda: view.may_start(
+            claim_id, self._timers.now
+        )
         outcome = await attempt(job)
         self._append_outcome(view, claim_id, outcome)
         return outcome
@@ -229,7 +231,7 @@
             )
             if not isinstance(decision, oncedecision.Pending):
                 return decision
-            if now >= give_up_at or job.gone:
+            if now >= give_up_at or job.caller_disconnected:
                 return decision
             await shard.wait()
 
@@ -245,7 +247,7 @@
                 body=outcome.body,
             )
             ended = view.finish(claim_id, answer=answer, known=True, now=now)
-        elif outcome.ran is refusal.Ran.NOT_RUN:
+        elif outcome.ran is refusal.RunStatus.NOT_RUN:
             ended = view.abandon(claim_id, now)
         else:
             ended = view.finish(claim_id, answer=None, known=False, now=now)
@@ -261,7 +263,7 @@
                 status=409,
                 code="running",
                 message="a request with this key is under way",
-                ran=refusal.Ran.UNKNOWN,
+                ran=refusal.RunStatus.UNKNOWN,
                 retry_after_s=decision.retry_after_s,
             )
         if isinstance(decision, oncedecision.Unknown):
@@ -270,7 +272,7 @@
                 status=409,
                 code="outcome_unknown",
                 message="the host that ran this key did not say how it ended",
-                ran=refusal.Ran.UNKNOWN,
+                ran=refusal.RunStatus.UNKNOWN,
             )
         if isinstance(decision, errors.KeyConflict):
             return refusal.bad_request(
@@ -345,7 +347,7 @@
             status=409,
             code="already_ran",
             message="the request with this key ran; its answer is not kept",
-            ran=refusal.Ran.RAN,
+            ran=refusal.RunStatus.RAN,
         )
     headers = [(REPLAY_HEADER, "true")]
     if decision.answer.content_type:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gateway.py
@@ -88,8 +88,8 @@
         """Whether the load balancer may send callers to this host."""
         return (
             self._services.view.table is not None
-            and self._services.follow_endpoints.known
-            and self._services.follow_crashes.known
+            and self._services.follow_endpoints.has_loaded
+            and self._services.follow_crashes.has_loaded
             and not self._stopping
         )
 
@@ -99,16 +99,16 @@
         self._services.timers.every(decisionlog.FLUSH_S, self._log.flush)
         self._log.always(
             "started",
-            callers=self._services.front.address,
+            callers=self._services.frontend.address,
             zone=self._settings.host.zone,
         )
 
     async def stop(self) -> None:
         """Finishes open requests and stops within the stop time limit."""
         self._stopping = True
-        timers, front = self._services.timers, self._services.front
+        timers, frontend = self._services.timers, self._services.frontend
         requests = self._services.forwarder
-        front.announce_stop()
+        frontend.begin_drain()
         began = self._stop_started_at = timers.now
         limit = began + self._settings.bounds.stop_s - STOP_RESERVE_S
         self._log.always("stopping", open=requests.open_requests)
@@ -116,8 +116,8 @@
             await timers.sleep(STOP_CHECK_S)
             if timers.now - began < STOP_LISTEN_S:
                 continue
-            front.close_idle()
-            if front.connections == 0:
+            frontend.close_idle()
+            if frontend.connections == 0:
                 break
         unfinished = requests.open_requests
         await self._kernel.stop()
@@ -169,7 +169,7 @@
             ),
         ):
             self._kernel.register(
-                pages.Pages(
+                pages.PageServer(
                     name=name,
                     reactor=reactor,
                     host=address.host,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/gatewayservices.py
@@ -26,7 +26,7 @@
 from bulrushgrade_daemon import fencedactions
 from bulrushgrade_daemon import follower
 from bulrushgrade_daemon import forwarder
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import gatewaymessages
 from bulrushgrade_daemon import gatewaysettings
 from bulrushgrade_daemon import loadgossip
@@ -158,7 +158,7 @@
             self._follow_peers,
             self._cache_watch,
             self._forwarder,
-            self._front,
+            self._frontend,
         ):
             context.kernel.register(service)
 
@@ -203,9 +203,9 @@
         return self._forwarder
 
     @property
-    def front(self) -> front.Front:
+    def frontend(self) -> frontend.Frontend:
         """The HTTP server for callers."""
-        return self._front
+        return self._frontend
 
     @property
     def crashes(self) -> crashwatch.CrashWatch:
@@ -247,8 +247,8 @@
             context.adapter.configuration_reader,
             wait_s=bounds.configuration_s / WAITING_READS_PER_BOUND,
             pause_s=0.0,
-            take=self._view.take_configuration,
-            take_all=self._view.take_configuration,
+            on_records=self._view.apply_configuration,
+            on_all=self._view.apply_configuration,
             # The records contain callers' keys.
             keeps_records=False,
         )
@@ -257,12 +257,12 @@
             context.adapter.endpoint_reader,
             wait_s=0.0,
             pause_s=bounds.drain_s / ENDPOINT_READS_PER_BOUND,
-            read_essence=self._view.read_essence,
+            extract_state=self._view.extract_state,
             # The host that sends orders to engines must read by itself, to
             # know whether it can reach the store.
-            must_read=lambda: self._gossip.fleet.is_first(),
-            take=self._view.take_endpoints,
-            take_all=self._view.take_all_endpoints,
+            must_read=lambda: self._gossip.fleet.is_leader_if_able(),
+            on_records=self._view.apply_endpoints,
+            on_all=self._view.replace_endpoints,
         )
 
     def _make_chooser(self) -> None:
@@ -300,7 +300,7 @@
             timers=self._timers,
             ledger=self._ledger,
             write=topic.write,
-            leads=lambda: self._gossip.leads(),
+            leads=lambda: self._gossip.is_leader(),
             log=context.log,
             on_broken=context.kernel.fail,
         )
@@ -309,8 +309,8 @@
             topic.reader,
             wait_s=bounds.contact_s / WAITING_READS_PER_BOUND,
             pause_s=CRASHES_PAUSE_S,
-            take=self._crash_sharing.apply_records,
-            take_all=self._crash_sharing.apply_snapshot,
+            on_records=self._crash_sharing.apply_records,
+            on_all=self._crash_sharing.apply_snapshot,
         )
 
     def _make_forwarding(self) -> None:
@@ -360,7 +360,7 @@
             observe_latency=self._observe_answer,
             record_run_start=lambda w, at: self._tasks.record_run_start(w, at),
         )
-        self._front = front.Front(
+        self._frontend = frontend.Frontend(
             reactor=context.reactor,
             host=listen.callers.host,
             port=listen.callers.port,
@@ -381,7 +381,7 @@
             zone=context.settings().host.zone,
             listen=context.settings().listen.peers,
             membership=context.adapter.membership,
-            take=lambda message: self._gossip.receive(message),
+            on_message=lambda message: self._gossip.receive(message),
             log=context.log,
             on_broken=context.kernel.fail,
         )
@@ -392,8 +392,8 @@
             loads=self._peer_loads,
             read_own=self._work.shares,
             may_order=self._may_order,
-            take_changes=sharing.apply_advertised,
-            take_other=self._dispatch,
+            apply_changes=sharing.apply_advertised,
+            handle_other=self._dispatch,
             log=context.log,
         )
         sharing.set_gossip(self._gossip)
@@ -409,8 +409,8 @@
             context.adapter.membership.reader,
             wait_s=PEERS_WAIT_S,
             pause_s=PEERS_PAUSE_S,
-            take=self._link.take_records,
-            take_all=self._link.take_records,
+            on_records=self._link.apply_records,
+            on_all=self._link.apply_records,
         )
 
     def _make_stage_control(self) -> None:
@@ -444,7 +444,7 @@
             actions=self._actions,
             view=self._view,
             gossip=self._gossip,
-            reaches_store=lambda: self._follow_endpoints.reaches,
+            reaches_store=lambda: self._follow_endpoints.reaches_store,
             may_order=self._may_order,
             link=self._link,
             log=context.log,
@@ -486,7 +486,8 @@
     def _may_order(self) -> bool:
         """Returns whether this host can append to the topic of orders."""
         return (
-            self._follow_endpoints.reaches and not self._context.is_stopping()
+            self._follow_endpoints.reaches_store
+            and not self._context.is_stopping()
         )
 
     def _new_share(self) -> retryshare.RetryShare:
@@ -498,7 +499,7 @@
         )
 
     def _retry_extra(self) -> float:
-        hosts = max(MIN_HOSTS, HOST_HEADROOM_FACTOR * self._link.known_hosts)
+        hosts = max(MIN_HOSTS, HOST_HEADROOM_FACTOR * self._link.host_count)
         return self._context.settings().bounds.retry_extra / hosts
 
     def _observe_answer(self, kind: str, took_s: float) -> None:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpfactory.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/httpfactory.py
@@ -1,4 +1,4 @@
-"""Makes HTTP connections with requests of our own and without a log."""
+"""A light HTTP server factory with custom requests and no access log."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,10 +7,10 @@
 
 
 class RequestFactory(http.HTTPFactory):
-    """Makes plain HTTP channels whose requests a function makes.
+    """Makes HTTP channels that use a custom request factory.
 
-    Twisted's own factory wraps each channel for a second protocol, keeps the
-    date for an access log and writes one.
+    Twisted's own factory wraps each channel to support HTTP/2, updates the
+    date for an access log and writes that log.
     """
 
     noisy = False
@@ -19,34 +19,34 @@
         self,
         *,
         reactor: Any,
-        make: Callable[..., http.Request],
+        make_request: Callable[..., http.Request],
         channel_type: type[http.HTTPChannel] = http.HTTPChannel,
     ):
         """Makes a factory.
 
         Args:
-            reactor: Times idle connections.
-            make: Makes a request from its channel.
+            reactor: The reactor, for the timeouts of idle connections.
+            make_request: Makes the request object of a channel.
             channel_type: The class of the channels.
         """
         super().__init__(reactor=reactor)
-        self._make = make
+        self._make_request = make_request
         self._channel_type = channel_type
 
     def startFactory(self) -> None:  # noqa: N802
-        """Opens no access log."""
+        """Does nothing, as there is no access log."""
 
     def stopFactory(self) -> None:  # noqa: N802
-        """Has no access log to close."""
+        """Does nothing, as there is no access log."""
 
     def log(self, request: Any) -> None:
-        """Writes no access log; decisions have lines of their own."""
+        """Does nothing; the decision log has lines about requests instead."""
 
     def buildProtocol(self, addr: Any) -> http.HTTPChannel:  # noqa: N802
-        """Returns the channel of a new connection."""
+        """Returns the channel for a new connection."""
         channel = self._channel_type()
         channel.factory = self
-        channel.requestFactory = self._make
+        channel.requestFactory = self._make_request
         channel.timeOut = self.timeOut
         channel._reactor = self.reactor
         channel.callLater = self.reactor.callLater
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/inflight.py
@@ -13,7 +13,7 @@
 from bulrushgrade import routing
 from bulrushgrade import workspaces
 from bulrushgrade_daemon import dialect
-from bulrushgrade_daemon import front
+from bulrushgrade_daemon import frontend
 from bulrushgrade_daemon import outbound
 
 
@@ -73,7 +73,7 @@
             endpoint.
     """
 
-    caller: front.CallerRequest
+    caller: frontend.CallerRequest
     info: dialect.RequestInfo
     route: routing.Route
     service: str
@@ -108,7 +108,7 @@
     @property
     def is_over(self) -> bool:
         """Whether the deadline has passed or the caller has disconnected."""
-        return self.expired or self.caller.gone
+        return self.expired or self.caller.is_disconnected
 
     def describe_plan(self) -> dict[str, Any]:
         """Returns the inputs of its plan as fields of a log line."""
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadcodec.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadcodec.py
@@ -1,4 +1,4 @@
-"""Translates loads and changes of caches to what messages hold, and back."""
+"""Converts loads and cache changes to and from their form in messages."""
 
 from collections.abc import Iterable
 import heapq
@@ -7,15 +7,16 @@
 from bulrushgrade import peerloads
 from bulrushgrade_daemon import gatewaymessages
 
-MOST_ENGINES = 1000
-"""In a message, the busiest ones, so that it stays within a datagram."""
+MAX_ENGINES = 1000
+"""Limit of engines in a message, so that it fits a datagram. The busiest ones
+are sent."""
 
 EngineChanges = tuple[str, tuple[enginecache.CacheChange, ...]]
-"""An engine's id and what changed in its cache."""
+"""An engine's id and the changes of its cache."""
 
 
-def encode_shares(shares: peerloads.Shares) -> gatewaymessages.Engines:
-    """Returns shares as a message has them."""
+def encode_shares(shares: peerloads.Shares) -> gatewaymessages.EngineLoads:
+    """Returns shares in the form of a message."""
     return {
         engine: (
             {u: round(s * 1000) for u, s in share.queued_s.items()},
@@ -29,19 +30,19 @@
 def _pick_busiest(
     shares: peerloads.Shares,
 ) -> Iterable[tuple[str, peerloads.EngineShare]]:
-    if len(shares) <= MOST_ENGINES:
+    if len(shares) <= MAX_ENGINES:
         return shares.items()
 
-    def rate(item: tuple[str, peerloads.EngineShare]) -> tuple[float, int]:
+    def rank(item: tuple[str, peerloads.EngineShare]) -> tuple[float, int]:
         return sum(item[1].queued_s.values()), item[1].tokens
 
-    return heapq.nlargest(MOST_ENGINES, shares.items(), key=rate)
+    return heapq.nlargest(MAX_ENGINES, shares.items(), key=rank)
 
 
 def decode_shares(
-    engines: gatewaymessages.Engines,
+    engines: gatewaymessages.EngineLoads,
 ) -> dict[str, peerloads.EngineShare]:
-    """Returns the shares in a message."""
+    """Returns the shares of a message."""
     return {
         engine: peerloads.EngineShare(
             queued_s={u: ms / 1000 for u, ms in queued_ms.items()},
@@ -52,8 +53,8 @@
     }
 
 
-def decode_changes(kept: gatewaymessages.Kept) -> list[EngineChanges]:
-    """Returns the changes of caches in a message, by engine."""
+def decode_changes(kept: gatewaymessages.CacheChanges) -> list[EngineChanges]:
+    """Returns the cache changes of a message by engine."""
     return [
         (
             engine,
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/loadgossip.py
@@ -1,14 +1,14 @@
-"""Advertises what this daemon has waiting at engines, and hears peers.
+"""Exchanges the loads that daemons have at engines.
 
-In a small fleet every daemon tells every other one. Where that would take
-more messages than a daemon may send, the hosts of an availability zone tell
-the first of them by rendezvous hashing, which adds up what they have; those
-that add up exchange the sums, and tell their members the sum of all. A view
-is so three messages old however many hosts there are.
+In a small fleet every daemon sends its load to every other one. Where that
+would exceed the message rate of a daemon, the hosts of an availability zone
+send their loads to an aggregator, the first of them by rendezvous hashing.
+Aggregators exchange the sums of their groups and send the sum of all groups
+to their members, so that a view is three messages old at any fleet size.
 
-Nobody has to agree on who adds up. A daemon adds up for those that send to
-it, so that each one's share is in one sum; a daemon that hears nothing from
-the one that it sends to turns to the next.
+Daemons need not agree on the aggregators. A daemon aggregates the loads of
+those that send to it, so that each load is in exactly one sum. A daemon that
+receives no sum from its aggregator switches to the next one.
 """
 
 from collections.abc import Callable
@@ -26,40 +26,42 @@
 from bulrushgrade_daemon import grouplists
 from bulrushgrade_daemon import loadcodec
 from bulrushgrade_daemon import loadmessages
-from bulrushgrade_daemon import othergroups
+from bulrushgrade_daemon import peeraggregators
 from bulrushgrade_daemon import peerlink as peerlink_module
 
 PERIOD_S = 0.1
-"""Between two messages to a peer in a small fleet: a fraction of the time in
-which a queue of engines builds up."""
+"""Interval between messages to a peer in a small fleet: a fraction of the time
+in which queues at engines build up."""
 
-MESSAGES_PER_S = 160.0
-"""Messages that a daemon sends a second at most, so that they take a small
-part of a core. Where more peers are to be told, each is told less often."""
+MAX_MESSAGES_PER_S = 160.0
+"""Limit of messages that a daemon sends per second, so that they take a small
+part of a core. With more receivers, each gets messages less often."""
 
-MOST_BYTES_PER_S = 400_000.0
-"""What they may take, a third of the slowest usual link. Sums grow with the
-engines that are busy; where they are long they come less often."""
+MAX_BYTES_PER_S = 400_000.0
+"""Limit of their bandwidth: a third of the slowest usual link. Sums grow with
+the number of busy engines; large sums are sent less often."""
 
-SILENT_PERIODS = 3.5
-"""Messages without which a peer counts as gone. Bad links lose some; were one
-enough, hosts would disagree all the time on who is there and so on whom to
-query."""
+MAX_MISSED_MESSAGES = 3.5
+"""Message periods without a message after which a peer counts as gone. Lossy
+links drop some; if one were enough, hosts would constantly disagree on which
+daemons are present and so on which one to query."""
 
-LEAST_SILENT_S = 1.5
-"""In a small fleet: longer than a host that is busy or paused for a moment
-stays silent."""
+MIN_SILENCE_S = 1.5
+"""Lower bound of that time in a small fleet, longer than a host that is busy or
+briefly paused stays silent."""
 
-LISTS_PART = 0.25
-"""Of a daemon's messages, that lists may be where nothing changes."""
+LISTS_FRACTION = 0.25
+"""Fraction of a daemon's messages that may be member lists while nothing
+changes."""
 
-LIST_SILENT_S = 60.0
-"""How long a list counts. One whose maker is gone is taken back much sooner;
-this only bounds what a daemon remembers that nobody tells anything."""
+LIST_TTL_S = 60.0
+"""How long a member list is valid. Lists of an aggregator that is gone are
+withdrawn much sooner; this only bounds the memory of a daemon that receives
+nothing."""
 
 
 class LoadGossip:
-    """Exchanges loads with peers and knows which of them are there."""
+    """Exchanges loads with peers and tracks which of them are present."""
 
     name = "loadgossip"
     requires = ("timer", "peerlink")
@@ -73,24 +75,25 @@
         loads: peerloads.PeerLoads,
         read_own: Callable[[], dict[str, peerloads.EngineShare]],
         may_order: Callable[[], bool],
-        take_changes: changerelay.TakeChanges,
-        take_other: Callable[[gatewaymessages.Message], None],
+        apply_changes: changerelay.ApplyChanges,
+        handle_other: Callable[[gatewaymessages.Message], None],
         log: Any,
     ):
         """Makes the service.
 
         Args:
             timers: The timer service.
-            own_name: This daemon's name among its peers; another one after
-                each start.
+            own_name: This daemon's name among its peers, a new one after each
+                start.
             link: Sends to peers and knows their zones.
-            loads: Takes what peers advertise.
-            read_own: Returns what this daemon has, by engine.
-            may_order: Returns whether this daemon could order engines to
+            loads: Stores the loads that peers advertise.
+            read_own: Returns this daemon's load by engine.
+            may_order: Returns whether this daemon is able to order engines to
                 change their roles.
-            take_changes: Takes what a peer saw of an engine's cache.
-            take_other: Takes the messages that are not about the load.
-            log: Gets a line when another daemon adds up for this one.
+            apply_changes: Applies cache changes that a peer observed at an
+                engine.
+            handle_other: Handles messages that are not about load.
+            log: Logs changes of this daemon's aggregator.
         """
         self._timers = timers
         self._own_name = own_name
@@ -99,155 +102,155 @@
         self._loads = loads
         self._read_own = read_own
         self._may_order = may_order
-        self._changes = changerelay.ChangeRelay(take=take_changes)
+        self._changes = changerelay.ChangeRelay(apply=apply_changes)
         self._messages = loadmessages.LoadMessages(
             own_name=own_name, changes=self._changes, may_order=may_order
         )
-        self._take_other = take_other
+        self._handle_other = handle_other
         self._log = log
         self._fleet = fleetview.FleetView(
             own_name=own_name,
             hosts=lambda: link.hosts,
             zone_of=link.zone_of,
-            is_able=may_order,
+            can_order=may_order,
         )
         self._members = self._fleet.members
-        self._groups = othergroups.OtherGroups(
+        self._aggregators = peeraggregators.PeerAggregators(
             own_name=own_name, fleet=self._fleet
         )
-        self._choice = aggregatorchoice.AggregatorChoice(
+        self._aggregator_choice = aggregatorchoice.AggregatorChoice(
             own_host=self._own_host
         )
-        # When a sum of all was last heard, or this daemon added up itself.
+        # When the last sum of the fleet came, or was made by this daemon.
         self._sum_at = -math.inf
-        # Since when it adds up.
-        self._adds_up_since = -math.inf
+        # Since when this daemon has been an aggregator.
+        self._aggregating_since = -math.inf
         self._lists = grouplists.GroupLists(
             timers=timers,
             own_name=own_name,
             members=self._members,
             send_datagram=link.send_datagram,
-            most_per_s=LISTS_PART * MESSAGES_PER_S,
+            max_lists_per_s=LISTS_FRACTION * MAX_MESSAGES_PER_S,
         )
-        # Of the longest message of the last round.
-        self._sum_bytes = 0
-        self._number = 0
+        # Size of the last sum of the fleet that was sent.
+        self._message_bytes = 0
+        self._round = 0
         self._tick: Any = None
 
     @property
     def fleet(self) -> fleetview.FleetView:
-        """Which daemons are there."""
+        """The daemons that are present."""
         return self._fleet
 
     async def start(self) -> None:
-        """Begins to advertise."""
+        """Starts the exchange."""
         self.schedule()
 
     async def stop(self) -> None:
-        """Sends nothing any more."""
+        """Stops the exchange."""
         if self._tick is not None:
             self._tick.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns who is there and who adds up."""
+        """Returns the present daemons and the aggregators."""
         now = self._timers.now
         return {
-            "there": len(self._fleet.there),
-            "aggregator": self._choice.chosen,
+            "there": len(self._fleet.present),
+            "aggregator": self._aggregator_choice.chosen,
             "members": sorted(self._loads.member_numbers(now)),
-            "groups": sorted(self._groups.names),
+            "groups": sorted(self._aggregators.names),
             "period_s": self._period_s(),
-            "rounds": self._number,
+            "rounds": self._round,
         }
 
     def receive(self, message: Any) -> None:
-        """Takes a peer's message."""
+        """Handles a peer's message."""
         match message:
             case gatewaymessages.Load():
-                self._take_load(message)
+                self._handle_load(message)
             case gatewaymessages.GroupLoad():
-                self._take_group(message)
+                self._handle_group(message)
             case gatewaymessages.FleetLoad():
-                self._take_fleet(message)
+                self._handle_fleet(message)
             case gatewaymessages.GroupMembers():
-                self._take_list(message)
+                self._handle_list(message)
             case _:
-                self._take_other(message)
+                self._handle_other(message)
 
     def schedule(self) -> None:
-        """Has the first messages sent a moment later."""
+        """Schedules the first messages."""
         self._tick = self._timers.after(PERIOD_S, self._exchange)
 
     def advertise_changes(
         self, engine: str, changes: tuple[enginecache.CacheChange, ...]
     ) -> None:
-        """Has what changed in an engine's cache sent to peers."""
+        """Queues changes of an engine's cache for the peers."""
         if not self._link.hosts:
             return
         self._changes.advertise(engine, changes)
 
     def pick_followed(self, engines: Iterable[str]) -> set[str]:
-        """Returns the engines whose caches this daemon is the one to follow.
+        """Returns the engines whose caches this daemon has to follow.
 
-        Of those that hear each other the one that rendezvous hashing picks,
-        so that each engine is read by one daemon however many there are.
+        Rendezvous hashing assigns each engine to one of the daemons that are
+        in contact, so that one daemon reads it at any fleet size.
         """
         followed = {
             engine
             for engine in engines
             if self._fleet.find_owners(engine)[0] == self._own_name
         }
-        self._changes.follow(followed)
+        self._changes.set_followed(followed)
         return followed
 
-    def heard(self) -> list[str]:
-        """Returns the peers that are there, sorted by their names."""
-        return self._fleet.there[1:]
+    def present_peers(self) -> list[str]:
+        """Returns the peers that are present, sorted by name."""
+        return self._fleet.present[1:]
 
-    def leads(self) -> bool:
-        """Returns whether this daemon is the one to order engines about.
+    def is_leader(self) -> bool:
+        """Returns whether this daemon is the one that orders role changes.
 
-        It is the first by name of those that hear each other and could. One
-        that is cut off from the store is heard and could not; while it was
-        the first all the same, engines kept their roles through bursts of
-        long answers for as long as the cut lasted.
+        The leader is the first by name of the present daemons that are able
+        to order. A daemon that can't reach the store is present but unable:
+        if it led, engines would keep their roles through bursts of long
+        answers until the store is reachable again.
         """
-        return self._may_order() and self._fleet.is_first()
+        return self._may_order() and self._fleet.is_leader_if_able()
 
     def _exchange(self) -> None:
         now = self._timers.now
-        self._number += 1
+        self._round += 1
         period_s = self._period_s()
-        silent_s = max(LEAST_SILENT_S, SILENT_PERIODS * period_s)
+        silent_s = max(MIN_SILENCE_S, MAX_MISSED_MESSAGES * period_s)
         self._loads.stale_s = max(
-            peerloads.MIN_STALE_S, SILENT_PERIODS * period_s
+            peerloads.MIN_STALE_S, MAX_MISSED_MESSAGES * period_s
         )
-        self._forget(now, silent_s)
+        self._expire(now, silent_s)
         own = self._read_own()
-        self._choose_aggregator(now, SILENT_PERIODS * period_s)
-        if self._choice.chosen is not None:
+        self._choose_aggregator(now, MAX_MISSED_MESSAGES * period_s)
+        if self._aggregator_choice.chosen is not None:
             self._send_load(own)
         else:
             self._sum_at = now
             self._loads.clear_fleet()
             self._send_sums(own, now)
-            if now - self._adds_up_since >= silent_s:
-                kept = {self._own_name, *self._groups.names}
-                self._lists.take_back(kept, self._loads.member_numbers(now))
+            if now - self._aggregating_since >= silent_s:
+                active = {self._own_name, *self._aggregators.names}
+                self._lists.withdraw(active, self._loads.member_numbers(now))
         self._tick = self._timers.after(period_s, self._exchange)
 
-    def _forget(self, now: float, silent_s: float) -> None:
+    def _expire(self, now: float, silent_s: float) -> None:
         self._loads.forget(now)
         self._members.forget(
             now,
             silent_s=silent_s,
-            list_silent_s=LIST_SILENT_S,
+            list_silent_s=LIST_TTL_S,
         )
-        self._groups.forget(now, silent_s)
-        # Lists come by way of who adds up; one and the next were silent.
+        self._aggregators.forget(now, silent_s)
+        # Lists come from the aggregator; this one and the next were silent.
         if now - self._sum_at >= 2 * silent_s:
             self._members.drop_lists()
-        self._lists.forget()
+        self._lists.drop_expired()
         self._fleet.refresh()
 
     def _period_s(self) -> float:
@@ -256,55 +259,55 @@
         receivers = self._fleet.count_receivers()
         return max(
             PERIOD_S,
-            receivers / MESSAGES_PER_S,
-            receivers * self._sum_bytes / MOST_BYTES_PER_S,
+            receivers / MAX_MESSAGES_PER_S,
+            receivers * self._message_bytes / MAX_BYTES_PER_S,
         )
 
     def _is_small(self) -> bool:
-        """Returns whether every host may tell every other one."""
-        return len(self._link.hosts) <= MESSAGES_PER_S * PERIOD_S
+        """Returns whether every host may send to every other one."""
+        return len(self._link.hosts) <= MAX_MESSAGES_PER_S * PERIOD_S
 
-    # Who adds up.
+    # Choice of the aggregator.
 
     def _choose_aggregator(self, now: float, silent_s: float) -> None:
-        silent = self._choice.drop_silent(now, silent_s)
-        for name in self._fleet.there:
+        silent = self._aggregator_choice.drop_silent(now, silent_s)
+        for name in self._fleet.present:
             if fleetmembers.host_of(name) == silent:
                 self._members.exclude(name, now + aggregatorchoice.AVOID_S)
-        before = self._choice.chosen
+        before = self._aggregator_choice.chosen
         ranked = [self._own_host]
-        # Others rely on who has members; it goes on for as long as they do.
+        # An aggregator with members stays one, as they rely on it.
         if not self._is_small() and not self._loads.member_numbers(now):
             ranked = self._fleet.rank_aggregators(self._fleet.own_zone)
-        if not self._choice.choose(ranked, now):
+        if not self._aggregator_choice.choose(ranked, now):
             return
-        if self._choice.chosen is None:
-            self._adds_up_since = now
+        if self._aggregator_choice.chosen is None:
+            self._aggregating_since = now
         self._log.note(
             "load_aggregator_changed",
-            aggregator=self._choice.chosen or self._own_host,
+            aggregator=self._aggregator_choice.chosen or self._own_host,
             before=before or self._own_host,
-            there=len(self._fleet.there),
+            there=len(self._fleet.present),
         )
 
-    # What is sent.
+    # Outgoing messages.
 
     def _send_load(self, own: peerloads.Shares) -> None:
-        self._loads.record_own(self._number, own)
-        message = self._messages.make_load(self._number, own)
+        self._loads.record_own(self._round, own)
+        message = self._messages.make_load(self._round, own)
         self._link.send_datagram(
-            [self._choice.chosen], gatewaymessages.serialize(message)
+            [self._aggregator_choice.chosen], gatewaymessages.serialize(message)
         )
 
     def _send_sums(self, own: peerloads.Shares, now: float) -> None:
         group = self._loads.group_sum(own, now)
-        message = self._messages.make_group_load(self._number, group)
+        message = self._messages.make_group_load(self._round, group)
         self._link.send_datagram(
             self._group_hosts(), gatewaymessages.serialize(message)
         )
         members = self._loads.member_numbers(now)
         if not members:
-            self._changes.drop_inward()
+            self._changes.drop_for_members()
             return
         fleet = peerloads.sum_shares([group, *self._loads.other_groups(now)])
         self._send_fleet(members, fleet)
@@ -313,11 +316,11 @@
     def _send_fleet(
         self, members: dict[str, int], fleet: peerloads.Shares
     ) -> None:
-        message = self._messages.make_fleet_load(self._number, fleet)
+        message = self._messages.make_fleet_load(self._round, fleet)
         for name, number in members.items():
             message.your_number = number
             datagram = gatewaymessages.serialize(message)
-            self._sum_bytes = len(datagram)
+            self._message_bytes = len(datagram)
             self._link.send_datagram([fleetmembers.host_of(name)], datagram)
 
     def _send_list(self, members: dict[str, int]) -> None:
@@ -328,77 +331,81 @@
         self._lists.send_own(
             [self._own_name, *members],
             unable,
-            number=self._number,
+            number=self._round,
             hosts=hosts + self._group_hosts(),
         )
 
     def _group_hosts(self) -> list[str]:
         if self._is_small():
             return self._link.hosts
-        return self._groups.find_hosts(self._number)
+        return self._aggregators.find_hosts(self._round)
 
-    # What is heard.
+    # Incoming messages.
 
-    def _take_load(self, message: gatewaymessages.Load) -> None:
+    def _handle_load(self, message: gatewaymessages.Load) -> None:
         now, name = self._timers.now, message.peer
         is_new = name not in self._loads.member_numbers(now)
-        if not self._hear(name, message.may_order):
+        if not self._observe_peer(name, message.may_order):
             return
         shares = loadcodec.decode_shares(message.engines)
         if not self._loads.update_member(name, message.number, shares, now):
             return
-        self._changes.receive(message.kept, outward=True, inward=True)
+        self._changes.receive(message.kept, to_groups=True, to_members=True)
         if is_new:
-            # It learns at once who is there in the other groups.
-            self._lists.send_known(name)
+            # A new member gets the member lists of the other groups at once.
+            self._lists.send_others(name)
 
-    def _take_group(self, message: gatewaymessages.GroupLoad) -> None:
+    def _handle_group(self, message: gatewaymessages.GroupLoad) -> None:
         now, name = self._timers.now, message.peer
-        if not self._hear(name, message.may_order):
+        if not self._observe_peer(name, message.may_order):
             return
-        if self._choice.chosen is not None and not message.is_passed_on:
+        if (
+            self._aggregator_choice.chosen is not None
+            and not message.is_passed_on
+        ):
             message.is_passed_on = True
             self._link.send_datagram(
-                [self._choice.chosen], gatewaymessages.serialize(message)
+                [self._aggregator_choice.chosen],
+                gatewaymessages.serialize(message),
             )
-        self._groups.hear(name, now)
+        self._aggregators.observe(name, now)
         shares = loadcodec.decode_shares(message.engines)
         if not self._loads.update_group(name, message.number, shares, now):
             return
-        self._changes.receive(message.kept, outward=False, inward=True)
+        self._changes.receive(message.kept, to_groups=False, to_members=True)
 
-    def _take_fleet(self, message: gatewaymessages.FleetLoad) -> None:
+    def _handle_fleet(self, message: gatewaymessages.FleetLoad) -> None:
         now = self._timers.now
-        if not self._choice.observe_sum(
+        if not self._aggregator_choice.observe_sum(
             fleetmembers.host_of(message.peer), now
         ):
             return
-        self._hear(message.peer, None)
+        self._observe_peer(message.peer, None)
         self._sum_at = now
         shares = loadcodec.decode_shares(message.engines)
         self._loads.update_fleet(
             message.your_number, message.number, shares, now
         )
-        self._changes.receive(message.kept, outward=False, inward=False)
+        self._changes.receive(message.kept, to_groups=False, to_members=False)
 
-    def _take_list(self, message: gatewaymessages.GroupMembers) -> None:
+    def _handle_list(self, message: gatewaymessages.GroupMembers) -> None:
         members = self._loads.member_numbers(self._timers.now)
         is_own = message.peer in members or message.peer == self._own_name
-        self._lists.take(message, () if is_own else members)
+        self._lists.handle_list(message, () if is_own else members)
         self._fleet.refresh()
 
-    def _hear(self, name: str, may_order: bool | None) -> bool:
-        """Notes a daemon that was heard; returns whether it is another one."""
+    def _observe_peer(self, name: str, may_order: bool | None) -> bool:
+        """Records that a daemon is present; returns False for this host."""
         host = fleetmembers.host_of(name)
         if host == self._own_host:
             return False
         for known in self._members.drop_earlier_starts(name):
-            # A host that was restarted is not there under its old name.
+            # A restarted host is no longer present under its old name.
             self._loads.drop(known)
-            self._groups.drop(known)
+            self._aggregators.drop(known)
         self._members.observe_message(name, self._timers.now)
         if may_order is not None:
             self._members.observe_ability(name, may_order)
-        if name not in self._fleet.there:
+        if name not in self._fleet.present:
             self._fleet.refresh()
         return True
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/operatortasks.py
@@ -116,7 +116,7 @@
         """
         if self._usage is not None:
             return self._usage.is_reporter
-        return self._gossip.leads()
+        return self._gossip.is_leader()
 
     def record_run_start(
         self, workspace: workspaces.Workspace | None, at: float
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/topicjournal.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/topicjournal.py
@@ -1,9 +1,9 @@
-"""The newest records of a topic, kept so that they can be relayed.
+"""Buffer of the latest records of a topic, for relaying them.
 
-Most records of a topic that endpoints write to are heartbeats: they differ
-from the record before in a counter only. Relaying all of them would cost
-more than the reads that it saves, so a record that says nothing new is held
-back until the next one of its key that does.
+Most records of a topic that endpoints write to are heartbeats: only their
+counter differs from the previous record. Relaying all of them would cost more
+than the saved reads, so the latest heartbeat of a key is suppressed until the
+key's state changes.
 """
 
 import collections
@@ -14,49 +14,49 @@
 
 from bulrushgrade_daemon import topicreader
 
-MOST_KEPT = 256
-"""Records that are kept. Hosts ask every second or so; one that is further
-behind reads the store."""
+MAX_RECORDS = 256
+"""Limit of buffered records. Hosts query about once per second; one that is
+further behind reads the store."""
 
-RECORD_HEAD_BYTES = 16
-"""What a record takes in a message beside its key and value."""
+RECORD_OVERHEAD_BYTES = 16
+"""Size of a record in a message without its key and value."""
 
 
 @attrs.frozen(kw_only=True)
-class Essence:
-    """What a record says.
+class RecordState:
+    """The state that a record describes.
 
     Attributes:
-        content: What counts, without what changes with each heartbeat.
-        order: Grows from each heartbeat of a key to the next.
+        content: The state without what changes with each heartbeat.
+        order: Increases with each heartbeat of a key.
     """
 
     content: Hashable
     order: tuple[int, ...] = ()
 
 
-ReadEssence = Callable[[topicreader.KeyedRecord], Essence]
-"""Returns what a record with a value says."""
+ExtractState = Callable[[topicreader.KeyedRecord], RecordState]
+"""Returns the state of a record that has a value."""
 
 
 @attrs.define(kw_only=True)
-class _Newest:
-    """The newest record of a key, late copies left out."""
+class _Latest:
+    """The latest state of a key; delayed duplicates of records don't count."""
 
-    said: Essence
-    is_gone: bool = False
+    state: RecordState
+    is_deleted: bool = False
 
 
 @attrs.frozen(kw_only=True)
-class Extract:
-    """Records that follow an offset.
+class JournalSlice:
+    """Records from an offset on.
 
     Attributes:
-        records: In their order. The offset of one that was held back is that
-            of the record that released it.
-        end: Where the records after these begin.
-        has_more: Whether there are records that did not fit, or that are not
-            kept any more.
+        records: The records in order. A heartbeat that was suppressed has the
+            offset of the record that follows it here.
+        end: Offset after these records.
+        has_more: Whether there are records that did not fit, or that are no
+            longer retained.
     """
 
     records: tuple[topicreader.KeyedRecord, ...]
@@ -65,37 +65,38 @@
 
 
 class TopicJournal:
-    """What was read of one topic."""
+    """Buffers the records of one topic without its heartbeats."""
 
     def __init__(
-        self, *, read_essence: ReadEssence, keeps_records: bool = True
+        self, *, extract_state: ExtractState, keeps_records: bool = True
     ):
         """Makes an empty journal.
 
         Args:
-            read_essence: Tells records that say the same.
-            keeps_records: Whether records may be kept beyond the moment in
-                which they are taken; those with secrets may not.
+            extract_state: Returns a record's state, by which heartbeats are
+                recognized.
+            keeps_records: Whether records may be retained; those with secrets
+                may not.
         """
-        self._read_essence = read_essence
+        self._extract_state = extract_state
         self._keeps_records = keeps_records
-        self._begin = 0
-        self._end: int | None = None
-        self._kept: collections.deque[topicreader.KeyedRecord] = (
+        self._start_offset = 0
+        self._end_offset: int | None = None
+        self._records: collections.deque[topicreader.KeyedRecord] = (
             collections.deque()
         )
-        self._newest: dict[str, _Newest] = {}
-        self._held_back: dict[str, topicreader.KeyedRecord] = {}
+        self._latest: dict[str, _Latest] = {}
+        self._suppressed: dict[str, topicreader.KeyedRecord] = {}
 
     def restart(self, listing: topicreader.Listing) -> None:
-        """Begins anew after the whole list was read."""
-        self._begin = self._end = listing.end
-        self._kept.clear()
-        self._held_back.clear()
+        """Starts over after the topic was read as a whole."""
+        self._start_offset = self._end_offset = listing.end
+        self._records.clear()
+        self._suppressed.clear()
         if not self._keeps_records:
             return
-        self._newest = {
-            record.key: _Newest(said=self._read_essence(record))
+        self._latest = {
+            record.key: _Latest(state=self._extract_state(record))
             for record in listing.records
             if record.value is not None
         }
@@ -103,91 +104,93 @@
     def extend(
         self, records: tuple[topicreader.KeyedRecord, ...], end: int
     ) -> bool:
-        """Takes the records that follow; returns whether one says anything.
+        """Appends records; returns whether one is not just a heartbeat.
 
         Args:
-            records: In their order.
-            end: Where the next ones begin.
+            records: The records in order.
+            end: Offset after these records.
         """
         if not self._keeps_records:
-            self._begin = self._end = end
+            self._start_offset = self._end_offset = end
             return bool(records)
-        kept_before = len(self._kept)
+        count_before = len(self._records)
         for record in records:
-            self._take(record)
-        self._end = end
-        is_news = len(self._kept) > kept_before
-        while len(self._kept) > MOST_KEPT:
+            self._add(record)
+        self._end_offset = end
+        has_news = len(self._records) > count_before
+        while len(self._records) > MAX_RECORDS:
             self._drop_oldest()
-        return is_news
+        return has_news
 
-    def read_after(self, offset: int, *, max_bytes: int) -> Extract:
+    def read_after(self, offset: int, *, max_bytes: int) -> JournalSlice:
         """Returns the records from an offset on.
 
         Args:
-            offset: Where the reader goes on.
-            max_bytes: What they may take together.
+            offset: Offset of the first record to return.
+            max_bytes: Limit of their total size.
         """
-        if self._end is None or offset < self._begin:
-            return Extract(records=(), end=offset, has_more=True)
+        if self._end_offset is None or offset < self._start_offset:
+            return JournalSlice(records=(), end=offset, has_more=True)
         found: list[topicreader.KeyedRecord] = []
-        room = max_bytes
-        for record in self._kept:
+        free_bytes = max_bytes
+        for record in self._records:
             if record.offset < offset:
                 continue
-            room -= _size(record)
-            if room < 0:
-                return Extract(
+            free_bytes -= _record_bytes(record)
+            if free_bytes < 0:
+                return JournalSlice(
                     records=tuple(found), end=record.offset, has_more=True
                 )
             found.append(record)
-        return Extract(records=tuple(found), end=self._end, has_more=False)
+        return JournalSlice(
+            records=tuple(found), end=self._end_offset, has_more=False
+        )
 
-    def _take(self, record: topicreader.KeyedRecord) -> None:
-        said = None
+    def _add(self, record: topicreader.KeyedRecord) -> None:
+        state = None
         if record.value is not None:
-            said = self._read_essence(record)
-            if self._is_repeated(record.key, said):
-                self._newest[record.key].said = said
-                self._held_back[record.key] = record
+            state = self._extract_state(record)
+            if self._is_heartbeat(record.key, state):
+                self._latest[record.key].state = state
+                self._suppressed[record.key] = record
                 return
-        # Who gets the new record has to know how far the key's counter was:
-        # a late copy of a heartbeat would otherwise look newer than it is.
-        held_back = self._held_back.pop(record.key, None)
-        if held_back is not None:
-            self._kept.append(attrs.evolve(held_back, offset=record.offset))
-        self._kept.append(record)
-        self._note(record.key, said)
-
-    def _is_repeated(self, key: str, said: Essence) -> bool:
-        newest = self._newest.get(key)
+        # The receiver of the new record needs the key's last counter, or a
+        # delayed duplicate of a heartbeat would look newer than it is.
+        suppressed = self._suppressed.pop(record.key, None)
+        if suppressed is not None:
+            self._records.append(attrs.evolve(suppressed, offset=record.offset))
+        self._records.append(record)
+        self._update_latest(record.key, state)
+
+    def _is_heartbeat(self, key: str, state: RecordState) -> bool:
+        latest = self._latest.get(key)
         return (
-            newest is not None
-            and not newest.is_gone
-            and newest.said.content == said.content
-            and newest.said.order < said.order
+            latest is not None
+            and not latest.is_deleted
+            and latest.state.content == state.content
+            and latest.state.order < state.order
         )
 
-    def _note(self, key: str, said: Essence | None) -> None:
-        newest = self._newest.get(key)
-        if said is None:
-            if newest is not None:
-                newest.is_gone = True
+    def _update_latest(self, key: str, state: RecordState | None) -> None:
+        latest = self._latest.get(key)
+        if state is None:
+            if latest is not None:
+                latest.is_deleted = True
         elif (
-            newest is None
-            or newest.said.order < said.order
-            or (newest.said.order == said.order and not newest.is_gone)
+            latest is None
+            or latest.state.order < state.order
+            or (latest.state.order == state.order and not latest.is_deleted)
         ):
-            self._newest[key] = _Newest(said=said)
+            self._latest[key] = _Latest(state=state)
 
     def _drop_oldest(self) -> None:
-        record = self._kept.popleft()
-        self._begin = record.offset + 1
-        newest = self._newest.get(record.key)
-        if record.value is None and newest is not None and newest.is_gone:
-            del self._newest[record.key]
+        record = self._records.popleft()
+        self._start_offset = record.offset + 1
+        latest = self._latest.get(record.key)
+        if record.value is None and latest is not None and latest.is_deleted:
+            del self._latest[record.key]
 
 
-def _size(record: topicreader.KeyedRecord) -> int:
+def _record_bytes(record: topicreader.KeyedRecord) -> int:
     value_bytes = len(record.value) if record.value is not None else 0
-    return RECORD_HEAD_BYTES + len(record.key.encode()) + value_bytes
+    return RECORD_OVERHEAD_BYTES + len(record.key.encode()) + value_bytes
--- a/packages/bulrushgrade_daemon/tests/test_follower.py
+++ b/packages/bulrushgrade_daemon/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of following a topic."""
+"""Tests of the follower of a topic."""
 
 import fakes
 from returns.result import Failure
@@ -21,8 +21,10 @@
     shared = sharedtopic.SharedTopic(
         topic="topic",
         own_name="h1/1",
-        view_s=1.5,
-        read_essence=lambda found: topicjournal.Essence(content=found.value),
+        max_age_s=1.5,
+        extract_state=lambda found: topicjournal.RecordState(
+            content=found.value
+        ),
         rank_hosts=lambda key: ["h1/1"],
         must_read=lambda: False,
         send=lambda peer, message: False,
@@ -57,16 +59,16 @@
     )
     made, reactor, _, whole, taken = make(read_all, read_after)
     reactor.pump([0.5] * 4)
-    assert made.known
+    assert made.has_loaded
     assert [r.key for r in whole[0]] == ["a"]
     assert [r.key for r in taken[0]] == ["b"]
     assert [offset for offset, _ in read_after.calls][:3] == [7, 8, 8]
 
 
-def test_dropped_records_bring_the_whole_list_again():
-    """The store forgets its history while a daemon is cut off from it.
+def test_dropped_records_cause_a_full_reload():
+    """The store drops records while a daemon can't reach it.
 
-    What was removed meanwhile has no record any more that would say so.
+    The daemon would miss deletions whose records are no longer retained.
     """
     read_all = fakes.Answers(topicreader.Listing(records=(), end=7))
     read_after = fakes.Answers(
@@ -78,18 +80,18 @@
     assert len(whole) == 2
 
 
-def test_store_away_is_told_once_and_tried_again():
-    away = Failure(topicreader.StoreAway(reason="timeout"))
+def test_store_outage_is_logged_once_and_retried():
+    away = Failure(topicreader.StoreUnavailable(reason="timeout"))
     read_all = fakes.Answers(
         away, away, away, topicreader.Listing(records=(), end=0)
     )
     read_after = fakes.Answers(topicreader.Batch(records=(), end=0))
     made, reactor, lines, _, _ = make(read_all, read_after)
     reactor.pump([0.1] * 5)
-    assert not made.known
+    assert not made.has_loaded
     assert lines.count("dependency_lost") == 1
     reactor.pump([0.1] * 10)
-    assert made.known
+    assert made.has_loaded
     assert lines.count("dependency_regained") == 1
     assert made.regained_at is not None
 
@@ -123,24 +125,24 @@
     return ages
 
 
-def test_read_that_waited_in_vain_shows_the_topic_as_it_was_at_its_end():
-    """Guards against views that are too old to be handed on half of the time.
+def test_an_empty_read_that_waited_in_full_dates_the_view_at_its_end():
+    """Guards against views that are too old for relaying half of the time.
 
-    Every host of a zone then read the store for itself.
+    Every host of a zone then read the store itself.
     """
     assert max(follow_waiting(ends_after=1.0)[25:]) < 1.2
 
 
-def test_read_that_ends_before_its_wait_shows_only_its_beginning():
-    """Guards against a view that looks fresher than what the store said."""
+def test_an_empty_read_that_ended_early_dates_the_view_at_its_start():
+    """Guards against a view that claims to be fresher than it is."""
     ages = follow_waiting(ends_after=0.5)
     assert 0.9 < max(ages[25:]) < 1.2
 
 
-def test_read_that_ends_as_cancelled_is_not_the_silent_end():
-    """A read fails as if it had been cancelled, and nobody did.
+def test_a_read_that_ends_as_cancelled_is_reported():
+    """A read ends as cancelled although nobody cancelled it.
 
-    The follower ended, and its gateway served for ever by what it knew.
+    The follower ended silently, and its gateway used stale records forever.
     """
 
     async def read_all():
@@ -150,7 +152,7 @@
     assert len(made.broken) == 1
 
 
-def test_stopped_follower_is_not_broken():
+def test_a_stopped_follower_reports_nothing():
     waiting = defer.Deferred()
 
     async def read_all():
--- a/packages/bulrushgrade_daemon/tests/test_loadgossip_zones.py
+++ b/packages/bulrushgrade_daemon/tests/test_loadgossip_zones.py
@@ -1,4 +1,4 @@
-"""Tests of what daemons of larger fleets tell each other, by zone."""
+"""Tests of the exchange of loads in larger fleets with zones."""
 
 from gossipscene import SHARE
 from gossipscene import make
@@ -10,22 +10,22 @@
 
 @pytest.mark.parametrize(("count", "zones"), [(40, 1), (120, 4), (300, 6)])
 def test_messages_are_bounded_at_any_size(count, zones):
-    """Each host told every other one; the larger the fleet, the later."""
+    """Guards against messages, and so delays, that grow with the fleet."""
     reactor, _, net, hosts = make(count=count, zones=zones)
     reactor.pump([0.1] * 30)
     net.carried.clear()
     seconds = 5
     reactor.pump([0.1] * 10 * seconds)
     most = max(net.carried.values())
-    # Lists of who is there come beside the loads.
-    assert most <= 1.2 * loadgossip.MESSAGES_PER_S * seconds
+    # Member lists come in addition to the loads.
+    assert most <= 1.2 * loadgossip.MAX_MESSAGES_PER_S * seconds
     assert sum(net.carried.values()) <= 30 * count * seconds
 
 
-def test_long_sums_do_not_fill_a_link():
-    """Thousands of engines are busy, and a sum of them takes many kilobytes.
+def test_large_sums_stay_within_the_bandwidth_limit():
+    """Thousands of engines are busy, and their sum takes many kilobytes.
 
-    Sent as often as a short one it left no room on the link for answers.
+    Sent as often as a short one, it left no bandwidth for answers.
     """
     reactor, _, net, hosts = make(count=60, zones=3)
     for host in hosts:
@@ -35,15 +35,15 @@
     seconds = 5
     reactor.pump([0.1] * 10 * seconds)
     most = max(net.sent_bytes.values())
-    assert most <= 1.2 * loadgossip.MOST_BYTES_PER_S * seconds
+    assert most <= 1.2 * loadgossip.MAX_BYTES_PER_S * seconds
 
 
 @pytest.mark.parametrize(("count", "zones"), [(9, 4), (63, 3), (195, 6)])
 def test_view_of_an_engine_is_as_fresh_at_any_size(count, zones):
-    """Hundreds of hosts send to the same engines in one burst.
+    """Guards against a burst in which all hosts choose the same idle engine.
 
-    With a message to each peer in turn a view was seconds old or missing, and
-    all of them sent to the engine that had been idle before.
+    When each host sent to one peer after the other, a view was seconds old or
+    missing, and hundreds of hosts chose the engine that had been idle.
     """
     reactor, timers, _, hosts = make(count=count, zones=zones)
     reactor.pump([0.1] * 30)
@@ -57,12 +57,14 @@
         assert others.wait_s(0) == pytest.approx((count - 1) * 0.25)
 
 
-def test_every_host_knows_who_is_there():
+def test_every_host_knows_all_present_daemons():
     reactor, _, _, hosts = make(count=120, zones=4)
     reactor.pump([0.1] * 30)
     names = {f"h{n}/1" for n in range(1, 121)}
     for host in hosts:
-        assert set(host.gossip.heard()) | {host.gossip._own_name} == names
+        assert (
+            set(host.gossip.present_peers()) | {host.gossip._own_name} == names
+        )
     owners = {tuple(host.gossip.fleet.find_owners("e1")) for host in hosts}
     assert len(owners) == 1
 
@@ -72,11 +74,11 @@
 
 
 @pytest.mark.parametrize("zones", [1, 3])
-def test_a_host_that_adds_up_is_killed(zones):
-    """The host that adds up for its zone dies in a burst.
+def test_an_aggregator_is_killed(zones):
+    """The aggregator of a zone is killed during a burst.
 
-    The others hear no sum any more. What they had heard before gets old, and
-    until another one adds up each would see its own requests only.
+    Its members receive no more sums. Until they have another aggregator, their
+    last sums expire and each would only know its own requests.
     """
     reactor, timers, net, hosts = make(count=60, zones=zones)
     for host in hosts:
@@ -91,15 +93,15 @@
         assert host.loads.at("e1", timers.now).streams == expected
     reactor.pump([0.1] * 80)
     for host in left:
-        assert f"h{dead.port}/1" not in host.gossip.heard()
+        assert f"h{dead.port}/1" not in host.gossip.present_peers()
         assert host.loads.at("e1", timers.now).streams == expected
 
 
-def test_two_that_add_up_one_after_the_other_are_killed():
-    """A rack is lost with the host that adds up for a zone and the next one.
+def test_the_two_first_aggregators_of_a_zone_are_killed():
+    """A rack fails with a zone's aggregator and the next candidate.
 
-    The others turned to the second, which never replied to them, and left the
-    first out of those that are there once more, but not the second.
+    The members switched to the second host, which never replied. They removed
+    the first host from the present ones again, but not the second.
     """
     reactor, _, net, hosts = make(count=60, zones=3)
     reactor.pump([0.1] * 30)
@@ -111,10 +113,10 @@
     for host in zone:
         if host.port not in dead:
             gone = {f"h{port}/1" for port in dead}
-            assert not gone & set(host.gossip.heard())
+            assert not gone & set(host.gossip.present_peers())
 
 
-def test_a_host_that_adds_up_comes_back():
+def test_an_aggregator_comes_back():
     reactor, timers, net, hosts = make(count=60, zones=3)
     for host in hosts:
         host.own = {"e1": SHARE}
@@ -130,7 +132,7 @@
         assert streams == 59 * SHARE.streams
 
 
-def test_a_zone_that_is_cut_off_goes_by_itself():
+def test_other_zones_drop_the_load_of_a_partitioned_zone():
     reactor, timers, net, hosts = make(count=60, zones=3)
     for host in hosts:
         host.own = {"e1": SHARE}
@@ -155,10 +157,10 @@
         assert len(host.changes) <= 4
 
 
-def test_who_follows_an_engine_is_not_told_of_it():
-    """What a host saw of an engine comes back to it in the sum of all.
+def test_the_follower_of_an_engine_ignores_its_own_changes():
+    """A host's own cache changes come back to it with the sum of the fleet.
 
-    It is older by then than what the host has seen since.
+    By then they are older than what the host has observed since.
     """
     reactor, _, _, hosts = make(count=60, zones=3)
     reactor.pump([0.1] * 30)
@@ -182,4 +184,4 @@
         if host is not member:
             streams = host.loads.at("e1", timers.now).streams
             assert streams == 59 * SHARE.streams
-            assert f"h{member.port}/1" not in host.gossip.heard()
+            assert f"h{member.port}/1" not in host.gossip.present_peers()
--- a/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
+++ b/packages/bulrushgrade_daemon/tests/test_zmqreactor.py
@@ -12,7 +12,7 @@
 
 
 class Reactor(task.Clock):
-    """A clock that keeps the readers it is given."""
+    """A fake reactor: a clock that records the added readers."""
 
     def __init__(self):
         super().__init__()
@@ -49,10 +49,10 @@
     return reactor, connection
 
 
-def test_send_that_takes_the_edge_away_asks_for_a_turn(pair):
-    # A peer's messages would wait for good. One arrives while this side is
-    # about to send; the send handles the socket's events, the descriptor is
-    # not readable any more, and a reactor that waits for it never reads.
+def test_send_that_consumes_the_edge_schedules_a_read(pair):
+    # Guards against messages that are never read. If one arrives just before a
+    # send, the send consumes the edge: the descriptor is not readable any more,
+    # and a reactor that only waits for it never reads the message.
     near, far = pair
     got = []
     reactor, connection = open_connection(near, got.append)
@@ -67,11 +67,11 @@
     assert reactor.readers == []
 
 
-def test_flood_is_read_a_part_a_turn(pair):
+def test_flood_is_read_in_bounded_batches(pair):
     near, far = pair
     got = []
     reactor, connection = open_connection(near, got.append)
-    count = 2 * zmqreactor.MESSAGES_A_TURN + 20
+    count = 2 * zmqreactor.MAX_MESSAGES_PER_ITERATION + 20
     for number in range(count):
         far.send(b"%d" % number)
     sizes = []
@@ -79,7 +79,7 @@
         assert near.poll(WAIT_MS)
         connection.doRead()
         sizes.append(len(got) - sum(sizes))
-    assert max(sizes) <= zmqreactor.MESSAGES_A_TURN
+    assert max(sizes) <= zmqreactor.MAX_MESSAGES_PER_ITERATION
     connection.close()
     reactor.advance(0)
 
