--- a/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/__main__.py
@@ -1,6 +1,7 @@
-"""The binary ``bulrushgrade``: the operators' commands.
+"""Entry point of ``bulrushgrade``, the command line for operators.
 
-Exit codes: 0 done, 1 refused with the reason, 2 usage, 3 outcome unknown.
+Exit codes: 0 done, 1 refused (the reason is printed), 2 usage error, 3 outcome
+unknown.
 """
 
 from typing import Annotated
@@ -28,7 +29,7 @@
 )
 
 
-def _take_address(text: str, *, min_port: int = 1) -> str:
+def _parse_address(text: str, *, min_port: int = 1) -> str:
     try:
         return str(keys.parse_address(text, min_port=min_port))
     except ValueError as error:
@@ -37,8 +38,8 @@
         ) from None
 
 
-def _take_listen(text: str) -> str:
-    return _take_address(text, min_port=0)
+def _parse_listen_address(text: str) -> str:
+    return _parse_address(text, min_port=0)
 
 
 Log = Annotated[
@@ -46,32 +47,34 @@
     typer.Option(
         "--log",
         envvar=LOG_VARIABLE,
-        parser=_take_address,
+        parser=_parse_address,
         metavar="IP:PORT",
-        help="The log service.",
+        help="Address of the log service.",
     ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="For a program to read.")]
+Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 File = Annotated[str, typer.Argument(metavar="FILE.ini")]
 Service = Annotated[
     str, typer.Argument(help="A service, or 'fleet' for the fleet's document.")
 ]
 
 
-def _end(end: outcome.Outcome, json: bool) -> None:
+def _print_and_exit(result: outcome.Outcome, json: bool) -> None:
     if json:
-        typer.echo(outcome.serialize_value(end.value))
+        typer.echo(outcome.serialize_value(result.value))
     else:
-        if end.note:
-            typer.echo(end.note, err=True)
-        typer.echo(end.text, err=end.code in (outcome.REFUSED, outcome.USAGE))
-    raise typer.Exit(end.code)
+        if result.note:
+            typer.echo(result.note, err=True)
+        typer.echo(
+            result.text, err=result.code in (outcome.REFUSED, outcome.USAGE)
+        )
+    raise typer.Exit(result.code)
 
 
 @app.command()
 def check(file: File, json: Json = False) -> None:
-    """Checks a service's or the fleet's document and names every error."""
-    _end(checking.check(file), json)
+    """Checks the document of a service or the fleet and lists every error."""
+    _print_and_exit(checking.check(file), json)
 
 
 @app.command()
@@ -88,17 +91,17 @@
     ] = None,
     json: Json = False,
 ) -> None:
-    """Publishes a document and reads back whether it was accepted."""
+    """Publishes a document and reports whether it was accepted."""
     read = checking.read_draft(file)
     if isinstance(read, Failure):
-        _end(read.failure(), json)
+        _print_and_exit(read.failure(), json)
     draft = read.unwrap()
 
     async def command(reactor):
         client = logclient.LogClient(reactor=reactor, address=log)
         return await publishing.publish(reactor, client, draft, base=base)
 
-    _end(running.run(command), json)
+    _print_and_exit(running.run(command), json)
 
 
 @app.command()
@@ -109,18 +112,18 @@
         client = logclient.LogClient(reactor=reactor, address=log)
         return await reading.show(client, service)
 
-    _end(running.run(command), json)
+    _print_and_exit(running.run(command), json)
 
 
 @app.command()
 def history(service: Service, log: Log, json: Json = False) -> None:
-    """Shows the newest publishes of a service and what became of them."""
+    """Shows the latest publishes of a service and their verdicts."""
 
     async def command(reactor):
         client = logclient.LogClient(reactor=reactor, address=log)
         return await reading.list_history(client, service)
 
-    _end(running.run(command), json)
+    _print_and_exit(running.run(command), json)
 
 
 @app.command()
@@ -130,38 +133,42 @@
         typer.Option(
             "--admin",
             envvar=ADMIN_VARIABLE,
-            parser=_take_address,
+            parser=_parse_address,
             metavar="IP:PORT",
             help="A daemon's admin address; may be given repeatedly.",
         ),
     ],
     json: Json = False,
 ) -> None:
-    """Shows a line for each daemon."""
-    _end(running.run(lambda r: status_module.show_status(r, admin)), json)
+    """Shows the status of each daemon in one line."""
+    _print_and_exit(
+        running.run(lambda r: status_module.show_status(r, admin)), json
+    )
 
 
 @app.command()
 def dump(
     address: Annotated[
-        str, typer.Argument(metavar="IP:PORT", parser=_take_address)
+        str, typer.Argument(metavar="IP:PORT", parser=_parse_address)
     ],
     service: Annotated[
         str | None, typer.Argument(help="One service of the daemon.")
     ] = None,
     json: Json = False,
 ) -> None:
-    """Shows the state of a daemon, by its admin address."""
-    _end(running.run(lambda r: status_module.dump(r, address, service)), json)
+    """Shows the state of the daemon at an admin address."""
+    _print_and_exit(
+        running.run(lambda r: status_module.dump(r, address, service)), json
+    )
 
 
 @app.command()
 def replay(trace: str, json: Json = False) -> None:
-    """Replays a recorded trace and shows what came of it."""
-    # The replay brings in the simulated engines, which no other command needs.
+    """Replays a recorded trace and shows the resulting figures."""
+    # Imported here: only this command needs the simulated engines.
     from bulrushgrade_cli import replaying
 
-    _end(replaying.replay_trace(trace, json=json), json)
+    _print_and_exit(replaying.replay_trace(trace, json=json), json)
 
 
 @app.command()
@@ -169,17 +176,18 @@
     listen: Annotated[
         str,
         typer.Option(
-            parser=_take_listen,
+            parser=_parse_listen_address,
             metavar="IP:PORT",
-            help="Where callers reach the daemon; port 0 takes a free one.",
+            help="Address on which the daemon accepts callers; "
+            "port 0 picks a free port.",
         ),
     ] = "127.0.0.1:8080",
 ) -> None:
     """Runs the whole system in this process until Ctrl-C."""
-    # The demo brings in the daemon and every stand-in.
+    # Imported here: only this command needs the daemon and all stand-ins.
     from bulrushgrade_cli import demo as demo_module
 
-    _end(demo_module.run_demo(listen), json=False)
+    _print_and_exit(demo_module.run_demo(listen), json=False)
 
 
 def main() -> None:
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/publishing.py
@@ -1,9 +1,9 @@
-"""Publishes a document and reads back what became of it.
+"""Publishes a document and reads its verdict back from the log.
 
-The log may be slow or away, and an append can take effect while its answer is
-lost. Nothing is guessed from a lost answer: the stream is read back until it
-shows the record, and the record is sent again under the same id, of which the
-fold ignores a second copy.
+The log may be slow or unavailable, and an append can take effect although its
+answer is lost. So a lost answer counts neither as success nor as failure: the
+stream is read until the record appears, and the record is appended again with
+the same id, of which the fold ignores the second copy.
 """
 
 import random
@@ -22,22 +22,22 @@
 from bulrushgrade_cli import reading
 from bulrushgrade_daemon import logclient
 
-# How long the outcome is sought. The log's short outages pass in this time,
-# and an operator still waits for it in front of the screen.
-LIMIT_S = 20.0
-PAUSE_S = (0.1, 0.5)
+# Long enough to outlast short outages of the log, and short enough for an
+# operator who waits at the terminal.
+TIMEOUT_S = 20.0
+RETRY_PAUSE_RANGE_S = (0.1, 0.5)
 
 
 @attrs.define(kw_only=True)
 class _Attempt:
-    """One publish on its way.
+    """The state of one publish.
 
     Attributes:
         draft: The document.
-        append: The record, the same each time that it is sent.
+        append: The record, identical in every attempt.
         base: The revision that the document was edited from.
-        maybe_stored: Whether some append may have taken effect.
-        reason: Why the last step did not go through.
+        maybe_stored: Whether an append may have taken effect.
+        reason: Why the outcome was not known after the last attempt.
     """
 
     draft: checking.Draft
@@ -53,30 +53,31 @@
     draft: checking.Draft,
     *,
     base: int | None = None,
-    limit_s: float = LIMIT_S,
+    timeout_s: float = TIMEOUT_S,
 ) -> outcome.Outcome:
-    """Publishes a document, unless it is in force already.
+    """Publishes a document unless it is already in force.
 
     Args:
-        reactor: For pauses between tries.
+        reactor: The reactor, for pauses between attempts.
         log: The log service.
         draft: The document.
-        base: The revision that it was edited from; None takes the one that
-            is accepted now.
-        limit_s: How long the outcome is sought.
+        base: The revision that it was edited from; None means the currently
+            accepted one.
+        timeout_s: How long to wait for the verdict.
     """
-    found = registry.Registry()
-    read = await reading.catch_up(log, found)
+    fold = registry.Registry()
+    read = await reading.catch_up(log, fold)
     if isinstance(read, Failure):
         return outcome.refuse(f"nothing published: {read.failure()}")
-    if _is_in_force(found, draft):
-        return _tell_done(found, draft, "is in force already")
-    accepted = found.accepted_revision(draft.service)
+    if _is_in_force(fold, draft):
+        return _report_done(fold, draft, "is in force already")
+    accepted = fold.accepted_revision(draft.service)
     current = None if accepted is None else accepted.offset
     if base is not None and base != current:
-        # Accepted revisions only go up, so the base can't come back.
-        shown = "none" if current is None else current
-        reason = f"edited from {base}, accepted is {shown}"
+        # Offsets of accepted revisions only grow, so the base can't be
+        # accepted again.
+        current_text = "none" if current is None else current
+        reason = f"edited from {base}, accepted is {current_text}"
         return outcome.refuse(
             f"{draft.service}: {reason}",
             code="base_replaced",
@@ -85,7 +86,7 @@
     attempt = _Attempt(
         draft=draft, append=_make_append(draft, current), base=current
     )
-    return await _settle(reactor, log, found, attempt, limit_s)
+    return await _append_until_decided(reactor, log, fold, attempt, timeout_s)
 
 
 def _make_append(draft: checking.Draft, base: int | None) -> record.Append:
@@ -105,36 +106,36 @@
     )
 
 
-async def _settle(
+async def _append_until_decided(
     reactor: Any,
     log: logclient.LogClient,
-    found: registry.Registry,
+    fold: registry.Registry,
     attempt: _Attempt,
-    limit_s: float,
+    timeout_s: float,
 ) -> outcome.Outcome:
-    """Appends and reads back until the verdict is known or time is up."""
-    give_up_at = reactor.seconds() + limit_s
+    """Appends and reads until the verdict is known or the timeout passes."""
+    deadline = reactor.seconds() + timeout_s
     send = True
     while True:
         if send:
             await _append(log, attempt)
-        read = await reading.catch_up(log, found)
-        end = _find_end(found, attempt)
-        if end is not None:
-            return end
-        # Sent again only once a read to the end has not shown the record: a
-        # copy does no harm, but a log that is only slow needs no more load.
+        read = await reading.catch_up(log, fold)
+        result = _find_outcome(fold, attempt)
+        if result is not None:
+            return result
+        # Append again only if a read up to the end did not show the record. A
+        # copy is harmless, but would add load to a log that is merely slow.
         send = not isinstance(read, Failure)
         attempt.reason = "the record is not on the log"
         if isinstance(read, Failure):
             attempt.reason = read.failure()
-        if reactor.seconds() >= give_up_at:
+        if reactor.seconds() >= deadline:
             break
-        pause_s = random.uniform(*PAUSE_S)
+        pause_s = random.uniform(*RETRY_PAUSE_RANGE_S)
         await task.deferLater(reactor, pause_s, lambda: None)
     record_id = attempt.append.record_id
     if attempt.maybe_stored:
-        return outcome.leave_unknown(
+        return outcome.report_unknown(
             f"{attempt.draft.service}: it is not known whether the log took "
             f"the document ({attempt.reason}); look at its history, or "
             "publish again, which is harmless",
@@ -146,25 +147,25 @@
 
 
 async def _append(log: logclient.LogClient, attempt: _Attempt) -> None:
-    stored = await log.append(publication.STREAM, [attempt.append])
-    if not isinstance(stored, Failure):
+    appended = await log.append(publication.STREAM, [attempt.append])
+    if not isinstance(appended, Failure):
         attempt.maybe_stored = True
         return
-    error = stored.failure()
+    error = appended.failure()
     if isinstance(error, logclient.OutcomeUnknown):
         attempt.maybe_stored = True
 
 
-def _find_end(
-    found: registry.Registry, attempt: _Attempt
+def _find_outcome(
+    fold: registry.Registry, attempt: _Attempt
 ) -> outcome.Outcome | None:
-    verdict = found.find_verdict(attempt.append.record_id)
+    verdict = fold.find_verdict(attempt.append.record_id)
     if verdict is None:
         return None
     if verdict.accepted:
-        return _tell_done(found, attempt.draft, "is accepted")
-    if _is_in_force(found, attempt.draft):
-        return _tell_done(found, attempt.draft, "was published meanwhile")
+        return _report_done(fold, attempt.draft, "is accepted")
+    if _is_in_force(fold, attempt.draft):
+        return _report_done(fold, attempt.draft, "was published meanwhile")
     return outcome.refuse(
         f"{attempt.draft.service}: {verdict.message}",
         code=verdict.code,
@@ -172,18 +173,18 @@
     )
 
 
-def _is_in_force(found: registry.Registry, draft: checking.Draft) -> bool:
-    accepted = found.accepted_revision(draft.service)
+def _is_in_force(fold: registry.Registry, draft: checking.Draft) -> bool:
+    accepted = fold.accepted_revision(draft.service)
     if accepted is None:
         return False
     return (accepted.text, accepted.team) == (draft.text, draft.team)
 
 
-def _tell_done(
-    found: registry.Registry, draft: checking.Draft, how: str
+def _report_done(
+    fold: registry.Registry, draft: checking.Draft, how: str
 ) -> outcome.Outcome:
-    accepted = found.accepted_revision(draft.service)
-    # By now a later publish may have replaced it; the verdict still stands.
+    accepted = fold.accepted_revision(draft.service)
+    # A later publish may have replaced it; the verdict is still valid.
     revision = None if accepted is None else accepted.offset
     return outcome.Outcome(
         code=outcome.DONE,
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/running.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/running.py
@@ -1,4 +1,4 @@
-"""Runs one command in the reactor, to its end or to Ctrl-C."""
+"""Runs one command in the reactor until it finishes or Ctrl-C."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -9,7 +9,7 @@
 
 from bulrushgrade_cli import outcome
 
-INTERRUPTED = outcome.leave_unknown("interrupted before the end was known")
+INTERRUPTED = outcome.report_unknown("interrupted before the end was known")
 
 
 def run(
@@ -17,29 +17,29 @@
     *,
     interrupted: outcome.Outcome = INTERRUPTED,
 ) -> outcome.Outcome:
-    """Returns what a command came to.
+    """Runs a command and returns its outcome.
 
     Args:
-        command: Started with the reactor once that runs.
-        interrupted: What Ctrl-C or SIGTERM comes to.
+        command: Called with the reactor once the reactor runs.
+        interrupted: The outcome to return after Ctrl-C or SIGTERM.
 
     Raises:
-        Exception: Whatever the command raised, a fault of the program.
+        Exception: Any exception that the command raised.
     """
-    # Imported late: commands that need no reactor don't install one.
+    # Imported here so that commands without a reactor don't install one.
     from twisted.internet import reactor
 
-    ends: list[Any] = []
+    results: list[Any] = []
 
     def start() -> None:
-        ending = defer.Deferred.fromCoroutine(command(reactor))
-        ending.addBoth(ends.append)
-        ending.addBoth(lambda _: reactor.running and reactor.stop())
+        deferred = defer.Deferred.fromCoroutine(command(reactor))
+        deferred.addBoth(results.append)
+        deferred.addBoth(lambda _: reactor.running and reactor.stop())
 
     reactor.callWhenRunning(start)
     reactor.run()
-    if not ends:
+    if not results:
         return interrupted
-    if isinstance(ends[0], failure.Failure):
-        ends[0].raiseException()
-    return ends[0]
+    if isinstance(results[0], failure.Failure):
+        results[0].raiseException()
+    return results[0]
--- a/packages/bulrushgrade_cli/bulrushgrade_cli/status.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/status.py
@@ -1,4 +1,4 @@
-"""Asks daemons for their state, and sums it up for a person."""
+"""Fetches the state of daemons and summarizes it."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -30,19 +30,23 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What a daemon answered.
+    """A daemon's HTTP answer.
 
     Attributes:
-        code: The HTTP status.
-        value: The JSON in it.
+        code: The HTTP status code.
+        value: The decoded JSON body.
     """
 
     code: int
     value: Any
 
 
-async def ask(reactor: Any, address: str, path: str) -> Result[Answer, str]:
-    """Returns a daemon's answer on its admin address, or why there is none."""
+async def fetch(reactor: Any, address: str, path: str) -> Result[Answer, str]:
+    """Fetches a path from a daemon's admin address.
+
+    Returns:
+        The answer, or why there is none.
+    """
     client = httpclient.open_client(reactor, persistent=False)
 
     async def get() -> Answer:
@@ -50,9 +54,9 @@
         raw = await treq.content(response)
         return Answer(code=response.code, value=msgspec.json.decode(raw))
 
-    asked = defer.Deferred.fromCoroutine(get())
+    fetched = defer.Deferred.fromCoroutine(get())
     try:
-        return Success(await asked.addTimeout(TIMEOUT_S, reactor))
+        return Success(await fetched.addTimeout(TIMEOUT_S, reactor))
     except Exception as error:
         reason = str(error) or type(error).__name__
         return Failure(f"{address} does not answer: {reason}")
@@ -63,10 +67,10 @@
 ) -> outcome.Outcome:
     """Returns the state of a daemon, or of one of its services."""
     path = "/dump" if service is None else f"/dump/{service}"
-    asked = await ask(reactor, address, path)
-    if isinstance(asked, Failure):
-        return outcome.leave_unknown(asked.failure())
-    answer = asked.unwrap()
+    fetched = await fetch(reactor, address, path)
+    if isinstance(fetched, Failure):
+        return outcome.report_unknown(fetched.failure())
+    answer = fetched.unwrap()
     if answer.code != 200:
         reason = f"{address} answered {answer.code}: {answer.value}"
         return outcome.refuse(reason)
@@ -80,43 +84,43 @@
 async def show_status(
     reactor: Any, addresses: Sequence[str]
 ) -> outcome.Outcome:
-    """Returns a line for each daemon.
+    """Returns the status of each daemon in one line.
 
     Args:
         reactor: The reactor.
         addresses: The daemons' admin addresses.
 
     Returns:
-        Done when all are ready, refused when one says that it is not, and
-        unknown when one did not answer.
+        Done if all are ready, refused if one reports that it is not ready, and
+        unknown if one did not answer.
     """
-    asked = await defer.gatherResults(
+    fetched = await defer.gatherResults(
         [
-            defer.Deferred.fromCoroutine(ask(reactor, address, "/dump"))
+            defer.Deferred.fromCoroutine(fetch(reactor, address, "/dump"))
             for address in addresses
         ]
     )
     rows = [
-        _sum_up(address, answer)
-        for address, answer in zip(addresses, asked, strict=True)
+        _summarize(address, answer)
+        for address, answer in zip(addresses, fetched, strict=True)
     ]
     code = outcome.DONE
     if any(row["ready"] != "yes" for row in rows):
         code = outcome.REFUSED
-    if any(isinstance(answer, Failure) for answer in asked):
+    if any(isinstance(answer, Failure) for answer in fetched):
         code = outcome.UNKNOWN
     return outcome.Outcome(
         code=code, text=_format_rows(rows), value={"daemons": rows}
     )
 
 
-def _sum_up(address: str, asked: Result[Answer, str]) -> dict[str, Any]:
+def _summarize(address: str, fetched: Result[Answer, str]) -> dict[str, Any]:
     row: dict[str, Any] = dict.fromkeys(_COLUMNS, "-")
     row["admin"] = address
-    if isinstance(asked, Failure):
-        return {**row, "ready": "no answer", "reason": asked.failure()}
-    state = asked.unwrap().value
-    # A daemon of another release may lack a part; its column stays empty.
+    if isinstance(fetched, Failure):
+        return {**row, "ready": "no answer", "reason": fetched.failure()}
+    state = fetched.unwrap().value
+    # A daemon of another release may lack a section; use defaults then.
     callers = state.get("callers", {})
     documents = state.get("documents", {})
     placing = state.get("placing", {})
--- a/packages/bulrushgrade_cli/tests/test_demo.py
+++ b/packages/bulrushgrade_cli/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Tests of the demo as a process of its own."""
+"""Tests of the demo in a separate process."""
 
 import http.client
 import json
@@ -13,7 +13,7 @@
 
 from bulrushgrade_daemon import keys
 
-QUESTION = {
+REQUEST_BODY = {
     "model": "pack-llm",
     "messages": [{"role": "user", "content": "Which pack grade?"}],
     "max_tokens": 60,
@@ -21,19 +21,19 @@
 }
 
 
-def start_demo(interrupts):
-    """Starts the demo with a way to take SIGINT, whatever is inherited."""
+def start_demo(sigint_handler):
+    """Starts the demo with a given SIGINT handler, not the inherited one."""
     command = [sys.executable, "-m", "bulrushgrade_cli", "demo"]
     return subprocess.Popen(
         [*command, "--listen", "127.0.0.1:0"],
         env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
         stdout=subprocess.PIPE,
         text=True,
-        preexec_fn=lambda: signal.signal(signal.SIGINT, interrupts),
+        preexec_fn=lambda: signal.signal(signal.SIGINT, sigint_handler),
     )
 
 
-def end(popen):
+def kill_and_wait(popen):
     popen.kill()
     popen.wait(processes.LIMIT_S)
     popen.stdout.close()
@@ -45,7 +45,7 @@
     try:
         yield popen
     finally:
-        end(popen)
+        kill_and_wait(popen)
 
 
 def read_until(stream, last):
@@ -58,8 +58,8 @@
 
 
 def test_ctrl_c_finishes_the_answer_under_way_and_exits_0(demo):
-    # A first-time user would see a broken answer and an error. Ctrl-C came
-    # while an answer was streamed, and the stand-ins stopped before it ended.
+    # Guards against stand-ins that stop before the daemon has finished a
+    # streamed answer: Ctrl-C would then break the answer and print an error.
     lines = read_until(demo.stdout, "Ctrl-C")
     (callers,) = (x.split("//")[1] for x in lines if x.startswith("callers"))
     plain = processes.call("GET", callers.strip(), "/services/portal-app/rooms")
@@ -71,7 +71,7 @@
     caller.request(
         "POST",
         "/v1/chat/completions",
-        body=json.dumps(QUESTION),
+        body=json.dumps(REQUEST_BODY),
         headers={"Content-Type": "application/json"},
     )
     answer = caller.getresponse()
@@ -84,10 +84,11 @@
     assert demo.stdout.read().strip() == "stopped"
 
 
-def test_a_demo_that_ignores_ctrl_c_says_what_stops_it():
-    """A shell's background job ignores SIGINT, and so does what it starts.
+def test_demo_that_ignores_sigint_names_sigterm():
+    """The demo must not offer Ctrl-C where SIGINT is ignored.
 
-    The demo told of Ctrl-C, which never arrived.
+    A shell starts background jobs with SIGINT ignored, and child processes
+    inherit that, so Ctrl-C would have no effect.
     """
     popen = start_demo(signal.SIG_IGN)
     try:
@@ -96,28 +97,28 @@
         popen.send_signal(signal.SIGTERM)
         assert popen.wait(processes.LIMIT_S) == 0
     finally:
-        end(popen)
+        kill_and_wait(popen)
 
 
-def test_taken_address_is_one_line_that_names_it():
-    """Another program listens where the demo wants to.
+def test_address_in_use_is_reported_in_one_line():
+    """The listen address of the demo is used by another program.
 
-    A first-time user would see a traceback through the reactor, with nothing
-    in it about which address to change and how.
+    Guards against a traceback through the reactor that doesn't say which
+    address to change, or how.
     """
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        address = f"127.0.0.1:{taken.getsockname()[1]}"
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
         command = [sys.executable, "-m", "bulrushgrade_cli", "demo"]
-        ended = subprocess.run(
+        finished = subprocess.run(
             [*command, "--listen", address],
             env=dict(os.environ, PYTHONPATH=os.pathsep.join(sys.path)),
             capture_output=True,
             text=True,
             timeout=processes.LIMIT_S,
         )
-    assert ended.returncode == 1
-    (line,) = ended.stderr.strip().splitlines()
+    assert finished.returncode == 1
+    (line,) = finished.stderr.strip().splitlines()
     assert address in line
     assert "--listen" in line
