--- a/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
+++ b/packages/bulrushgrade_cli/bulrushgrade_cli/demo.py
@@ -1,7 +1,8 @@
-"""Runs the whole system in one process, on embedded stand-ins.
+"""Runs the whole system in one process, with embedded stand-ins.
 
-Log service, host list, weight store, two engines, a plain service and one
-daemon share a reactor; they talk over loopback as separate processes would.
+The log service, host list, weight store, two engines, a plain service and one
+daemon share a reactor and communicate over loopback sockets, as separate
+processes would.
 """
 
 import json
@@ -36,25 +37,25 @@
 MODEL_SERVICE = "pack-llm"
 PLAIN_SERVICE = "portal-app"
 ROLES = ("prefill", "mixed")
-ANY_PORT = "127.0.0.1:0"
+ANY_LOOPBACK_PORT = "127.0.0.1:0"
 
 
 @attrs.define(kw_only=True)
 class _System:
-    """What the demo has opened.
+    """The running parts of the demo.
 
     Attributes:
-        listeners: The stand-ins by name; engines carry their roles.
+        listeners: The stand-ins by name; an engine's name is its role.
         daemon: The daemon.
-        ended: Fires with the reason when the daemon breaks.
+        broken: Fires with the reason when the daemon fails.
     """
 
     listeners: dict[str, server.Listener]
     daemon: host.Daemon
-    ended: defer.Deferred
+    broken: defer.Deferred
 
     async def stop(self) -> None:
-        """Stops the daemon, which finishes its requests, then the rest."""
+        """Stops the daemon after its open requests, then the stand-ins."""
         await self.daemon.kernel.stop()
         for listener in self.listeners.values():
             await listener.stop()
@@ -64,7 +65,7 @@
     """Runs the demo until Ctrl-C.
 
     Args:
-        listen: Where callers reach the daemon, IP:PORT.
+        listen: Address on which the daemon accepts callers, IP:PORT.
     """
     stopped = outcome.Outcome(
         code=outcome.DONE, text="stopped", value={"done": True}
@@ -75,7 +76,7 @@
 
 
 async def _run(reactor: Any, listen: str) -> outcome.Outcome:
-    system = _build(reactor, listen)
+    system = _build_system(reactor, listen)
     try:
         await system.daemon.kernel.start()
     except internet_error.CannotListenError as error:
@@ -84,7 +85,7 @@
             f" {error.socketError.strerror}; --listen takes another address"
         )
 
-    # Ctrl-C stops the reactor; the requests in flight are finished first.
+    # Ctrl-C stops the reactor; requests in flight must finish before that.
     reactor.addSystemEventTrigger(
         "before",
         "shutdown",
@@ -95,19 +96,19 @@
     )
     for text in demodocuments.ALL:
         draft = checking.parse_draft(text, source="demo").unwrap()
-        end = await publishing.publish(reactor, client, draft)
-        if end.code != outcome.DONE:
-            return end
+        result = await publishing.publish(reactor, client, draft)
+        if result.code != outcome.DONE:
+            return result
     await client.stop()
-    print(describe(system.daemon, system.listeners), flush=True)
-    reason = await system.ended
+    print(format_instructions(system.daemon, system.listeners), flush=True)
+    reason = await system.broken
     return outcome.refuse(f"the daemon stopped: {reason}")
 
 
-def _serve(
+def _start_standins(
     reactor: Any,
 ) -> dict[str, server.Listener]:
-    """Starts the stand-ins; the host list is empty yet."""
+    """Starts the stand-ins and fills the host list."""
     hosts = hostlist.HostList()
     listeners = {
         "log": server.serve(app=log.LogService().app),
@@ -122,10 +123,10 @@
             model=demodocuments.MODEL,
             version=demodocuments.VERSION,
         )
-        made = engine.Engine(
+        standin = engine.Engine(
             settings=engine.EngineSettings(start=start, changes=changes)
         )
-        listeners[role] = server.serve(app=made.app)
+        listeners[role] = server.serve(app=standin.app)
     entries = [_list_host(listeners["plain"], "plain", PLAIN_SERVICE)]
     for role in ROLES:
         entries.append(_list_host(listeners[role], "engine", MODEL_SERVICE))
@@ -148,10 +149,10 @@
     }
 
 
-def _build(reactor: Any, listen: str) -> _System:
-    listeners = _serve(reactor)
-    ended: defer.Deferred = defer.Deferred()
-    local = keys.parse_address(ANY_PORT, min_port=0)
+def _build_system(reactor: Any, listen: str) -> _System:
+    listeners = _start_standins(reactor)
+    broken: defer.Deferred = defer.Deferred()
+    local = keys.parse_address(ANY_LOOPBACK_PORT, min_port=0)
     settings = settings_module.Settings(
         host=settings_module.Host(name="demo", zone=ZONE, region=REGION),
         listen=settings_module.Listen(
@@ -164,20 +165,22 @@
             host_list=keys.parse_address(listeners["hosts"].address),
             weight_store=keys.parse_address(listeners["weights"].address),
         ),
-        # No balancer stands before the demo, so none lags.
+        # No load balancer needs time to notice that the daemon stops.
         limits=settings_module.Limits(stop_grace_s=0.0, drain_limit_s=30.0),
     )
     daemon = host.build(
-        settings, reactor, on_broken=lambda reason: ended.callback(reason)
+        settings, reactor, on_broken=lambda reason: broken.callback(reason)
     )
-    return _System(listeners=listeners, daemon=daemon, ended=ended)
+    return _System(listeners=listeners, daemon=daemon, broken=broken)
 
 
-def describe(daemon: host.Daemon, listeners: dict[str, server.Listener]) -> str:
-    """Returns what to try, for a person.
+def format_instructions(
+    daemon: host.Daemon, listeners: dict[str, server.Listener]
+) -> str:
+    """Returns the addresses and example commands that the demo prints.
 
     Args:
-        daemon: The daemon, started.
+        daemon: The started daemon.
         listeners: The stand-ins by name.
     """
     callers, admin = daemon.callers.address, daemon.admin.address
@@ -189,7 +192,7 @@
             "stream": True,
         }
     )
-    # As it lies in the environment that runs this, which need not be active.
+    # The path of the script in this environment, which may not be active.
     command = os.path.relpath(
         os.path.join(os.path.dirname(sys.executable), "bulrushgrade")
     )
@@ -207,13 +210,13 @@
         f"  {command} status --admin {admin}",
         f"  {command} show {MODEL_SERVICE} --log {listeners['log'].address}",
         "",
-        _say_how_to_stop(),
+        _format_stop_instruction(),
     ]
     return "\n".join(lines)
 
 
-def _say_how_to_stop() -> str:
-    # A shell starts its background jobs so that they ignore the signal.
+def _format_stop_instruction() -> str:
+    # A shell starts background jobs with SIGINT ignored.
     if signal.getsignal(signal.SIGINT) is signal.SIG_IGN:
         return "Ctrl-C is ignored in this process; SIGTERM stops it."
     return "Ctrl-C stops it."
--- a/tools/slope.py
+++ b/tools/slope.py
@@ -1,4 +1,4 @@
-"""Slopes: measured points and the line through them."""
+"""Measures how a cost grows with a size, and fits a line to it."""
 
 from collections.abc import Callable
 import gc
@@ -13,11 +13,11 @@
 
 @attrs.frozen(kw_only=True)
 class Slope:
-    """Measured points of one cost.
+    """Measured costs at several sizes.
 
     Attributes:
         name: What was measured.
-        unit: Of the rise, such as ``bytes an entry``.
+        unit: The unit of the slope, such as ``bytes an entry``.
         points: Pairs of a size and the cost at that size.
     """
 
@@ -27,21 +27,21 @@
 
 
 def fit(points: tuple[tuple[float, float], ...]) -> tuple[float, float]:
-    """Returns base and rise of the line of least squares."""
+    """Returns the intercept and slope of the least-squares line."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    rise = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return mean_y - rise * mean_x, rise
+    squares = sum((x - mean_x) ** 2 for x, _ in points)
+    rate = sum((x - mean_x) * (y - mean_y) for x, y in points) / squares
+    return mean_y - rate * mean_x, rate
 
 
 def time_us(work: Callable[[], Any], *, count: int = 1) -> float:
-    """Returns the least processor time of some runs, in us a unit of work.
+    """Returns the minimum CPU time of several runs, in us per unit of work.
 
     Args:
-        work: What is run.
-        count: How many units one run does.
+        work: The function to run.
+        count: The number of units of work that one run does.
     """
     best_s = min(_time_s(work) for _ in range(REPEATS))
     return best_s / count * 1e6
@@ -54,13 +54,13 @@
 
 
 def count_bytes(make: Callable[[], Any]) -> int:
-    """Returns the memory that a made object keeps, in bytes."""
+    """Returns the memory that a created object retains, in bytes."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = make()
+    retained = make()
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
