--- a/packages/bulrushgrade_standins/bulrushgrade_standins/attempt.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/attempt.py
@@ -40,7 +40,7 @@
     attempts: int | None = None
 
 
-def take_faults(faults: StreamFaults) -> StreamFaults:
+def consume_faults(faults: StreamFaults) -> StreamFaults:
     """Returns the faults of one attempt and counts it."""
     if faults.attempts is None:
         return faults
@@ -69,12 +69,12 @@
         self._faults = faults
         self._first = sequence.index
         self._seed = completion.make_seed(sequence.prompt)
-        self._shown_id = run.attempt
+        self._sent_id = run.attempt
         if faults.wrong_attempt:
             # A crossed answer is another caller's in id and in content.
-            self._shown_id = f"{run.attempt}-other"
-            self._seed = completion.make_seed(self._shown_id)
-            request.setHeader("X-Attempt-Id", self._shown_id)
+            self._sent_id = f"{run.attempt}-other"
+            self._seed = completion.make_seed(self._sent_id)
+            request.setHeader("X-Attempt-Id", self._sent_id)
         self._done: defer.Deferred = defer.Deferred()
         self._silent = False
 
@@ -94,15 +94,17 @@
         return self._run
 
     def watch(
-        self, *, on_gone: Callable[["Attempt", str], None]
+        self, *, on_disconnect: Callable[["Attempt", str], None]
     ) -> defer.Deferred:
         """Returns what fires with the last bytes of the answer.
 
         Args:
-            on_gone: Called with the attempt and ``cut`` when the caller has
-                gone away first.
+            on_disconnect: Called with the attempt and ``cut`` when the caller
+                disconnects first.
         """
-        self._request.notifyFinish().addErrback(lambda _: on_gone(self, "cut"))
+        self._request.notifyFinish().addErrback(
+            lambda _: on_disconnect(self, "cut")
+        )
         return self._done
 
     def write(self, start: int, stop: int) -> str:
@@ -117,19 +119,19 @@
         """
         if self._silent:
             return ""
-        cut = self._find_cut()
+        cut = self._find_fault()
         sent_until = stop if cut is None else min(stop, cut[0])
         if self._wanted.stream:
             self._send_events(start, sent_until)
         if cut is not None and stop >= cut[0]:
-            return self._cut(cut[1])
+            return self._apply_fault(cut[1])
         if stop < self._sequence.max_tokens:
             return ""
         if self._wanted.stream:
-            self._send_late_end()
+            self._send_final_event()
             self.finish(completion.DONE_EVENT)
         else:
-            self.finish(self._make_whole())
+            self.finish(self._make_response())
         return "done"
 
     def finish(self, rest: bytes) -> None:
@@ -143,32 +145,32 @@
         value = {"kv_handle": handle, "usage": usage}
         self.finish(server.answer(self._request, value))
 
-    def _find_cut(self) -> tuple[int, str] | None:
+    def _find_fault(self) -> tuple[int, str] | None:
         """Returns the number of the first token not sent, and why not."""
         faults = self._faults
-        cuts = [
-            (self._first + after, fate)
-            for after, fate in (
+        points = [
+            (self._first + after, kind)
+            for after, kind in (
                 (faults.die_after, "die"),
                 (faults.silent_after, "silent"),
                 (faults.truncate_after, "truncate"),
             )
             if after is not None
         ]
-        return min(cuts, default=None)
+        return min(points, default=None)
 
-    def _cut(self, fate: str) -> str:
-        if fate == "silent":
+    def _apply_fault(self, kind: str) -> str:
+        if kind == "silent":
             self._silent = True
             return ""
-        if fate == "die":
+        if kind == "die":
             # A reset discards what the transport still holds, so what was
             # sent is given time to leave.
             reactor.callLater(_FLUSH_S, server.abort, self._request)
         elif self._wanted.stream:
             self.finish(b"")
         else:
-            whole = self._make_whole()
+            whole = self._make_response()
             self.finish(whole[: len(whole) // 2])
         return "cut"
 
@@ -178,8 +180,8 @@
         parts = []
         for index, token in enumerate(tokens, start=start):
             event = completion.make_event(
-                attempt=self._shown_id,
-                chat=self._wanted.chat,
+                attempt=self._sent_id,
+                chat=self._wanted.is_chat,
                 index=index,
                 token=token,
                 usage=self._make_usage(last + 1) if index == last else None,
@@ -191,7 +193,7 @@
             self._request.setHeader("Content-Type", "text/event-stream")
             self._request.write(b"".join(parts))
 
-    def _send_late_end(self) -> None:
+    def _send_final_event(self) -> None:
         """Sends the last event where the caller has had all tokens before.
 
         Its last event was lost with an earlier attempt, and the reason for
@@ -201,20 +203,20 @@
         if self._first == count:
             self._request.write(
                 completion.make_event(
-                    attempt=self._shown_id,
-                    chat=self._wanted.chat,
+                    attempt=self._sent_id,
+                    chat=self._wanted.is_chat,
                     index=count,
                     token="",
                     usage=self._make_usage(count),
                 )
             )
 
-    def _make_whole(self) -> bytes:
+    def _make_response(self) -> bytes:
         count = self._sequence.max_tokens
         tokens = completion.make_tokens(self._seed, self._first, count)
         value = completion.make_answer(
-            attempt=self._shown_id,
-            chat=self._wanted.chat,
+            attempt=self._sent_id,
+            chat=self._wanted.is_chat,
             text="".join(tokens),
             usage=self._make_usage(count),
         )
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/baseline.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/baseline.py
@@ -41,13 +41,13 @@
 class Baseline:
     """A host that places each request at once."""
 
-    def __init__(self, *, read_pick: Pick, decode_pick: Pick):
-        self._read_pick = read_pick
+    def __init__(self, *, prefill_pick: Pick, decode_pick: Pick):
+        self._prefill_pick = prefill_pick
         self._decode_pick = decode_pick
         self._endpoints: tuple[work.Endpoint, ...] = ()
         self._outstanding: dict[str, int] = {}
         self._placed: dict[str, tuple[work.Work, work.Placed, int]] = {}
-        self._asked = [0, 0]
+        self._demand_tokens = [0, 0]
         self.retried = 0
 
     def set_policies(self, policies: tuple[work.ServicePolicy, ...]) -> None:
@@ -73,17 +73,19 @@
 
     def demand(self) -> tuple[work.Demand, ...]:
         """Returns what was asked of this host, for the role plan."""
-        read, answered = self._asked
+        prefill_tokens, output_tokens = self._demand_tokens
         return (
             work.Demand(
-                model="model", prefill_tokens=read, output_tokens=answered
+                model="model",
+                prefill_tokens=prefill_tokens,
+                output_tokens=output_tokens,
             ),
         )
 
     def offer(self, item: work.Work, now: float) -> work.Decision:
         """Places a request."""
-        self._asked[0] += item.prompt_tokens
-        self._asked[1] += item.output_tokens
+        self._demand_tokens[0] += item.prompt_tokens
+        self._demand_tokens[1] += item.output_tokens
         return self._place(item, 0, "")
 
     def retry(
@@ -142,17 +144,17 @@
             for e in self._endpoints
             if e.state is work.EndpointState.SERVING and e.address != avoid
         ]
-        readers = [e for e in serving if e.role is not work.Role.DECODE]
+        prefillers = [e for e in serving if e.role is not work.Role.DECODE]
         decoders = [e for e in serving if e.role is not work.Role.PREFILL]
-        if not readers or not decoders:
+        if not prefillers or not decoders:
             return _refused(item)
-        reader = self._read_pick(readers, self._outstanding)
+        prefiller = self._prefill_pick(prefillers, self._outstanding)
         decoder = None
-        if reader.role is work.Role.PREFILL:
+        if prefiller.role is work.Role.PREFILL:
             decoder = self._decode_pick(decoders, self._outstanding).address
         placed = work.Placed(
             request_id=item.request_id,
-            endpoint=reader.address,
+            endpoint=prefiller.address,
             decode_endpoint=decoder,
         )
         self._placed[item.request_id] = (item, placed, attempt)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/batch.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/batch.py
@@ -61,7 +61,7 @@
         max_tokens: Tokens of the whole answer.
         index: Number of the next token, counted from 0.
         prefill_tokens: Tokens still to be read before the first is yielded.
-        cached_tokens: Prompt tokens that the prefix cache spared.
+        cached_tokens: Prompt tokens that the prefix cache skipped.
         prefill_only: Ends once the prompt has been read.
         dropped: Taken out; yields no more.
         prompt_tokens: The prompt's length.
@@ -121,7 +121,7 @@
 
     def __init__(self, *, capacity_tokens: int):
         self._capacity_blocks = capacity_tokens // BLOCK_TOKENS
-        self._held: collections.OrderedDict[str, None] = (
+        self._blocks: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._seq = itertools.count()
@@ -133,28 +133,28 @@
         """Returns how many tokens of a prompt are held."""
         blocks = 0
         for prefix in hashes:
-            if prefix not in self._held:
+            if prefix not in self._blocks:
                 break
-            self._held.move_to_end(prefix)
+            self._blocks.move_to_end(prefix)
             blocks += 1
         return blocks * BLOCK_TOKENS
 
     def store(self, hashes: list[str], now: float) -> None:
         """Holds the prefixes of a prompt; evicts others to make room."""
         for prefix in hashes:
-            if prefix not in self._held:
-                self._tell(now, "stored", prefix)
-            self._held[prefix] = None
-            self._held.move_to_end(prefix)
-        while len(self._held) > self._capacity_blocks:
-            prefix, _ = self._held.popitem(last=False)
-            self._tell(now, "evicted", prefix)
+            if prefix not in self._blocks:
+                self._record_event(now, "stored", prefix)
+            self._blocks[prefix] = None
+            self._blocks.move_to_end(prefix)
+        while len(self._blocks) > self._capacity_blocks:
+            prefix, _ = self._blocks.popitem(last=False)
+            self._record_event(now, "evicted", prefix)
 
     def clear(self, now: float) -> None:
         """Drops all, as a change of model does."""
-        for prefix in self._held:
-            self._tell(now, "evicted", prefix)
-        self._held.clear()
+        for prefix in self._blocks:
+            self._record_event(now, "evicted", prefix)
+        self._blocks.clear()
 
     def read_events(self, start: int, until: float) -> list[dict]:
         """Returns the events from a number on, as old as `until` or older."""
@@ -164,7 +164,7 @@
             if at <= until and event["seq"] >= start
         ]
 
-    def _tell(self, now: float, kind: str, prefix: str) -> None:
+    def _record_event(self, now: float, kind: str, prefix: str) -> None:
         seq = next(self._seq)
         if seq % _LOST_EVENT_PERIOD != _LOST_EVENT_PERIOD - 1:
             event = {"seq": seq, "kind": kind, "prefix": prefix}
@@ -218,7 +218,7 @@
         sequence.dropped = True
         self._queued = [e for e in self._queued if e[2] is not sequence]
         if sequence in self._running:
-            self._leave(sequence)
+            self._release(sequence)
 
     def run(self, role: str, budget_s: float) -> tuple[float, list]:
         """Runs steps until they have taken a budget of time.
@@ -250,27 +250,27 @@
             self._queued.pop(0)
             self._running.append(sequence)
             self._kv_used += sequence.size_tokens
-            self._spare_cached(sequence)
+            self._skip_cached(sequence)
 
-    def _spare_cached(self, sequence: Sequence) -> None:
+    def _skip_cached(self, sequence: Sequence) -> None:
         """Takes the cached prefix off what a sequence has to read."""
         if sequence.prefill_tokens:
             held = self._cache.match(hash_prefixes(sequence.prompt))
             # At least one token has to be read to yield the next.
-            spared = min(held, sequence.prefill_tokens - 1)
-            sequence.cached_tokens = spared
-            sequence.prefill_tokens -= spared
+            skipped = min(held, sequence.prefill_tokens - 1)
+            sequence.cached_tokens = skipped
+            sequence.prefill_tokens -= skipped
 
     def _step(self, role: str, first: dict[Sequence, int]) -> float:
         left = self._limits.prefill_step_tokens[role]
-        read = decoded = 0
+        prefilled = decoded = 0
         for sequence in list(self._running):
             if sequence.prefill_tokens:
-                part = min(left, sequence.prefill_tokens)
-                sequence.prefill_tokens -= part
-                left -= part
-                read += part
-                if part and not sequence.prefill_tokens:
+                chunk = min(left, sequence.prefill_tokens)
+                sequence.prefill_tokens -= chunk
+                left -= chunk
+                prefilled += chunk
+                if chunk and not sequence.prefill_tokens:
                     hashes = hash_prefixes(sequence.prompt)
                     self._cache.store(hashes, self.now)
             else:
@@ -279,13 +279,13 @@
                 decoded += 1
             if sequence.done:
                 first.setdefault(sequence, sequence.index)
-                self._leave(sequence)
+                self._release(sequence)
         return (
             self._limits.step_s
             + decoded * self._limits.step_per_sequence_s
-            + read / self._limits.prefill_tokens_per_s
+            + prefilled / self._limits.prefill_tokens_per_s
         )
 
-    def _leave(self, sequence: Sequence) -> None:
+    def _release(self, sequence: Sequence) -> None:
         self._running.remove(sequence)
         self._kv_used -= sequence.size_tokens
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/bound.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/bound.py
@@ -13,9 +13,9 @@
 def cost_s(request: traces.Request, cached_tokens: int) -> float:
     """Returns the engine seconds of a request, at the best batch."""
     step = enginemodel.STEP_S + enginemodel.STEP_S_PER_REQUEST * BEST_BATCH
-    reading = request.prompt_tokens - cached_tokens
+    prefill_load = request.prompt_tokens - cached_tokens
     return (
-        reading / enginemodel.PREFILL_TOKENS_PER_S
+        prefill_load / enginemodel.PREFILL_TOKENS_PER_S
         + request.output_tokens * step / BEST_BATCH
     )
 
@@ -31,15 +31,15 @@
     seen: set[tuple[str, int]] = set()
     costs = []
     start = trace.header.scored_from_s
-    longest = 0.0
+    max_deadline_s = 0.0
     for request in trace.requests:
         cached = all(part in seen for part in request.prefix)
         seen.update(request.prefix)
         if request.at_s >= start:
             shared = sum(tokens for _, tokens in request.prefix)
             costs.append(cost_s(request, shared if cached else 0))
-            longest = max(longest, request.deadline_s)
-    span = trace.header.duration_s - start + longest
+            max_deadline_s = max(max_deadline_s, request.deadline_s)
+    span = trace.header.duration_s - start + max_deadline_s
     left = len(trace.header.engines) * span
     count = 0
     for cost in sorted(costs):
@@ -60,7 +60,7 @@
     demands = list(_windows(trace))
     engines = len(trace.header.engines)
     ranked = sorted(
-        (_loss(split, demands), split) for split in _splits(engines)
+        (_unserved_demand(split, demands), split) for split in _splits(engines)
     )
     return [
         (work.Role.PREFILL,) * p
@@ -83,21 +83,23 @@
     for request in trace.requests:
         window = sums.setdefault(int(request.at_s / FLUID_WINDOW_S), [0.0] * 2)
         shared = sum(tokens for _, tokens in request.prefix)
-        reading = request.prompt_tokens - shared
-        window[0] += reading / enginemodel.PREFILL_TOKENS_PER_S
+        prefill_load = request.prompt_tokens - shared
+        window[0] += prefill_load / enginemodel.PREFILL_TOKENS_PER_S
         window[1] += request.output_tokens * step / 24
-    for reading, answering in sums.values():
+    for prefill_load, decode_load in sums.values():
         yield (
-            reading / FLUID_WINDOW_S,
-            answering / FLUID_WINDOW_S,
+            prefill_load / FLUID_WINDOW_S,
+            decode_load / FLUID_WINDOW_S,
             len(trace.header.engines),
         )
 
 
-def _loss(split: tuple[int, int], demands) -> float:
+def _unserved_demand(split: tuple[int, int], demands) -> float:
     p, d = split
     total = 0.0
-    for reading, answering, engines in demands:
-        over = max(0.0, reading / 0.8 - p) + max(0.0, answering / 0.8 - d)
+    for prefill_load, decode_load, engines in demands:
+        over = max(0.0, prefill_load / 0.8 - p) + max(
+            0.0, decode_load / 0.8 - d
+        )
         total += max(0.0, over - 0.8 * (engines - p - d))
     return total
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/change.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/change.py
@@ -61,7 +61,7 @@
     weights: str = ""
 
 
-class Changes:
+class OrderExecutor:
     """The engine's state and the order it holds."""
 
     def __init__(
@@ -69,9 +69,9 @@
         *,
         start: Wanted,
         settings: Settings,
-        entries: ledger.Ledger,
+        ledger_entries: ledger.Ledger,
         is_idle: Callable[[], bool],
-        take_crash_s: Callable[[], float | None],
+        next_crash_s: Callable[[], float | None],
         on_changed: Callable[[], None],
     ):
         """Makes the state of an engine that serves.
@@ -79,22 +79,22 @@
         Args:
             start: The state it starts in.
             settings: How it takes orders.
-            entries: Where each order is entered.
+            ledger_entries: Where each order is entered.
             is_idle: Says whether no work is in flight.
-            take_crash_s: Asked once a change: seconds of being down after a
+            next_crash_s: Asked once a change: seconds of being down after a
                 crash partway, or None for a change that comes to its end.
             on_changed: Called when a change has taken effect.
         """
         self._settings = settings
-        self._entries = entries
+        self._ledger_entries = ledger_entries
         self._is_idle = is_idle
-        self._take_crash_s = take_crash_s
+        self._next_crash_s = next_crash_s
         self._on_changed = on_changed
         self._state = "serving"
         self._current = start
         self._order: Order | None = None
-        self._done_id = ""
-        self._done_term = 0
+        self._last_order_id = ""
+        self._last_order_term = 0
         self._highest_term = 0
 
     @property
@@ -108,21 +108,21 @@
         return self._current
 
     @property
-    def done_id(self) -> str:
+    def last_order_id(self) -> str:
         """The id of the last order that took effect."""
-        return self._done_id
+        return self._last_order_id
 
     @property
-    def done_term(self) -> int:
+    def last_order_term(self) -> int:
         """The term of the last order that took effect."""
-        return self._done_term
+        return self._last_order_term
 
     def drain(self) -> None:
         """Refuses new work until an order ends it."""
         if self._state == "serving":
             self._state = "draining"
 
-    def take(self, order: Order) -> str:
+    def submit(self, order: Order) -> str:
         """Takes an order; returns ``""``, or why it is refused."""
         if self._settings.fencing and order.term < self._highest_term:
             return "stale_term"
@@ -135,10 +135,10 @@
                 return ""
             if not self._settings.overlap:
                 return "busy"
-        elif order.order_id == self._done_id:
-            self._done_term = max(order.term, self._done_term)
+        elif order.order_id == self._last_order_id:
+            self._last_order_term = max(order.term, self._last_order_term)
             return ""
-        self._hold(order)
+        self._start_order(order)
         return ""
 
     def check_idle(self) -> None:
@@ -148,9 +148,9 @@
             self._state = "changing"
             defer.ensureDeferred(self._change())
 
-    def _hold(self, order: Order) -> None:
-        self._entries.orders.append(
-            ledger.HeldOrder(
+    def _start_order(self, order: Order) -> None:
+        self._ledger_entries.orders.append(
+            ledger.OrderEntry(
                 order_id=order.order_id,
                 term=order.term,
                 wanted=attrs.asdict(order.wanted),
@@ -166,12 +166,12 @@
                 self.check_idle()
 
     async def _change(self) -> None:
-        crash_s = self._take_crash_s()
+        crash_s = self._next_crash_s()
         if crash_s is not None:
             await server.sleep(self._settings.change_s / 2)
             self._state = "down"
             self._order = None
-            self._close("crashed")
+            self._close_entry("crashed")
             await server.sleep(crash_s)
             self._state = "serving"
             return
@@ -183,15 +183,15 @@
         order = self._order
         self._order = None
         self._current = order.wanted
-        self._done_id = order.order_id
-        self._done_term = order.term
+        self._last_order_id = order.order_id
+        self._last_order_term = order.term
         self._state = "serving"
-        self._close(outcome)
+        self._close_entry(outcome)
         self._on_changed()
 
-    def _close(self, outcome: str) -> None:
+    def _close_entry(self, outcome: str) -> None:
         now = time.monotonic()
-        for held in self._entries.orders:
+        for held in self._ledger_entries.orders:
             if held.until_s is None:
                 held.until_s = now
                 held.outcome = outcome
@@ -221,11 +221,11 @@
     return order if order.wanted.role in _ROLES else None
 
 
-def describe(changes: Changes) -> dict[str, Any]:
+def describe_state(changes: OrderExecutor) -> dict[str, Any]:
     """Returns the part of a load report that is always fresh."""
     return {
         **attrs.asdict(changes.current),
         "state": changes.state,
-        "order_id": changes.done_id,
-        "term": changes.done_term,
+        "order_id": changes.last_order_id,
+        "term": changes.last_order_term,
     }
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/completion.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/completion.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class BadCompletion:
+class InvalidCompletion:
     """A request that no engine can run.
 
     Attributes:
@@ -59,7 +59,7 @@
     kv_import: KvSource | None = None
 
     @property
-    def chat(self) -> bool:
+    def is_chat(self) -> bool:
         """Whether it came with messages."""
         return self.prompt is None
 
@@ -71,16 +71,16 @@
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
 
-def parse_completion(raw: bytes) -> Result[Completion, BadCompletion]:
+def parse_completion(raw: bytes) -> Result[Completion, InvalidCompletion]:
     """Returns the request in a body."""
     try:
         parsed = msgspec.json.decode(raw, type=Completion)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Failure(BadCompletion(reason=str(error)))
+        return Failure(InvalidCompletion(reason=str(error)))
     if parsed.prompt is None and not parsed.messages:
-        return Failure(BadCompletion(reason="neither prompt nor messages"))
+        return Failure(InvalidCompletion(reason="neither prompt nor messages"))
     if not 0 <= parsed.resume_tokens <= parsed.max_tokens:
-        return Failure(BadCompletion(reason="resume_tokens out of range"))
+        return Failure(InvalidCompletion(reason="resume_tokens out of range"))
     return Success(parsed)
 
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/decisioncost.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/decisioncost.py
@@ -25,13 +25,13 @@
 
     Args:
         endpoints: Engines in the view.
-        peers: Other hosts that have told of their loads.
+        peers: Other hosts that have published their loads.
     """
     core = _make(endpoints, peers)
     return {
         "admit and place": _offer(core, placed=True),
         "admit and queue": _queue(_make(endpoints, peers), endpoints),
-        "peer's message": _hear(core, endpoints),
+        "peer's message": _peer_message(core, endpoints),
         "engine's report": _report(core, endpoints),
     }
 
@@ -75,10 +75,10 @@
 
 def _loads(endpoints: int, seed: int) -> tuple[work.PeerLoad, ...]:
     rng = random.Random(seed)
-    told = rng.sample(range(endpoints), min(endpoints, 5))
+    listed = rng.sample(range(endpoints), min(endpoints, 5))
     return tuple(
         work.PeerLoad(endpoint=f"e{number}", running=rng.randint(0, 1))
-        for number in told
+        for number in listed
     )
 
 
@@ -117,7 +117,7 @@
     return (time.process_time() - start) / DECISIONS * 1e6
 
 
-def _hear(core: scheduler.Scheduler, endpoints: int) -> float:
+def _peer_message(core: scheduler.Scheduler, endpoints: int) -> float:
     messages = [_loads(endpoints, number) for number in range(200)]
     start = time.process_time()
     for number in range(DECISIONS):
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/engine.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/engine.py
@@ -29,7 +29,7 @@
 # How far the batch may run ahead of the clock to make up for a busy process.
 _MAX_CATCH_UP_S = 0.05
 _KV_TOKENS_PER_S = 200_000.0
-_KEEP_REPORTS = 1000
+_MAX_LOAD_SAMPLES = 1000
 
 
 @attrs.define(kw_only=True)
@@ -85,22 +85,22 @@
         self._batch = batch.Batch(limits=settings.limits, cache=self._cache)
         self._attempts: dict[str, attempts.Attempt] = {}
         self._by_sequence: dict[batch.Sequence, attempts.Attempt] = {}
-        self._exports = kvcache.Exports()
+        self._kv_exports = kvcache.KvExports()
         self._numbers = itertools.count()
-        self._changes = change.Changes(
+        self._changes = change.OrderExecutor(
             start=settings.start,
             settings=settings.changes,
-            entries=self._ledger,
+            ledger_entries=self._ledger,
             is_idle=lambda: not self._attempts,
-            take_crash_s=self._take_crash_s,
+            next_crash_s=self._next_crash_s,
             on_changed=self._on_changed,
         )
         self._tick: Any = None
         self._due_s = 0.0
-        self._reports: collections.deque[tuple[float, dict]] = (
-            collections.deque(maxlen=_KEEP_REPORTS)
+        self._samples: collections.deque[tuple[float, dict]] = (
+            collections.deque(maxlen=_MAX_LOAD_SAMPLES)
         )
-        self._idle: list[defer.Deferred] = []
+        self._idle_waiters: list[defer.Deferred] = []
         self._app = klein.Klein()
         self._add_routes()
 
@@ -116,7 +116,7 @@
         route("/drain", methods=["POST"])(self._post_drain)
         route("/kv/<handle>", methods=["GET"])(self._get_kv)
         route("/ledger", methods=["GET"])(self._get_ledger)
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=EngineFaults,
             read=lambda: self._faults,
@@ -141,24 +141,24 @@
         """Refuses new work; fires when the work in flight is done."""
         self._changes.drain()
         idle: defer.Deferred = defer.Deferred()
-        self._idle.append(idle)
+        self._idle_waiters.append(idle)
         self._check_idle()
         return idle
 
     # Requests
 
-    def _disturb(self, request: Any) -> defer.Deferred | None:
+    def _apply_fault(self, request: Any) -> defer.Deferred | None:
         """Returns the outcome that a fault or a crash forces, or None."""
         if self._faults.silent:
-            return server.stay_silent()
+            return server.never_answer()
         if self._changes.state == "down":
             return server.abort(request)
         return None
 
     async def _post_completion(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return await forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return await fault_response
         attempt_id = server.read_header(request, "X-Attempt-Id")
         attempt_id = attempt_id or f"unnamed-{next(self._numbers)}"
         request.setHeader("X-Attempt-Id", attempt_id)
@@ -175,7 +175,7 @@
         attempt = self._make_attempt(request, attempt_id, wanted)
         self._attempts[attempt_id] = attempt
         # The caller's going away ends the attempt from here on.
-        done = attempt.watch(on_gone=self._end)
+        done = attempt.watch(on_disconnect=self._end)
         if wanted.kv_import is not None and not await self._import_kv(attempt):
             self._end(attempt, "cancelled")
             self._ledger.refused += 1
@@ -231,23 +231,23 @@
             wanted=wanted,
             sequence=sequence,
             run=run,
-            faults=attempts.take_faults(self._faults),
+            faults=attempts.consume_faults(self._faults),
         )
 
     def _delete_attempt(self, request: Any, attempt_id: str) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             self._end(attempt, "cancelled")
             attempt.finish(b"")
         return server.answer(request, {"cancelled": attempt is not None})
 
-    def _end(self, attempt: attempts.Attempt, how: str) -> None:
+    def _end(self, attempt: attempts.Attempt, outcome: str) -> None:
         if attempt.run.ended:
             return
-        attempt.run.ended = how
+        attempt.run.ended = outcome
         self._batch.remove(attempt.sequence)
         self._attempts.pop(attempt.run.attempt, None)
         self._by_sequence.pop(attempt.sequence, None)
@@ -257,7 +257,7 @@
         if self._attempts:
             return
         self._changes.check_idle()
-        waiting, self._idle = self._idle, []
+        waiting, self._idle_waiters = self._idle_waiters, []
         for idle in waiting:
             idle.callback(None)
 
@@ -269,16 +269,16 @@
             self._run_batch()
 
     def _run_batch(self) -> None:
-        pace = self._faults.slow_factor / self._settings.speed
+        time_scale = self._faults.slow_factor / self._settings.speed
         self._batch.now = time.monotonic()
         role = self._changes.current.role
-        taken_s, progress = self._batch.run(role, _TICK_S / pace)
+        taken_s, progress = self._batch.run(role, _TICK_S / time_scale)
         if not progress and taken_s == 0:
             self._tick = None
             return
         now = time.monotonic()
         start_s = max(self._due_s, now - _MAX_CATCH_UP_S)
-        self._due_s = start_s + taken_s * pace
+        self._due_s = start_s + taken_s * time_scale
         delay_s = max(0.0, self._due_s - now)
         self._tick = reactor.callLater(delay_s, self._deliver, progress)
 
@@ -295,21 +295,21 @@
         sequence = attempt.sequence
         if attempt.wanted.kv_export:
             if sequence.done:
-                handle = self._exports.export(sequence.prompt)
+                handle = self._kv_exports.export(sequence.prompt)
                 self._end(attempt, "done")
                 attempt.finish_export(handle)
             return
-        fate = attempt.write(start, stop)
-        if fate:
-            self._end(attempt, fate)
+        ending = attempt.write(start, stop)
+        if ending:
+            self._end(attempt, ending)
 
     # KV cache
 
     def _get_kv(self, request: Any, handle: str) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
-        prompt = self._exports.find(handle)
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
+        prompt = self._kv_exports.find(handle)
         if prompt is None:
             return server.answer(request, {"code": "gone"}, code=410)
         return server.answer(request, {"prompt": prompt})
@@ -325,40 +325,40 @@
 
     # Reports and orders
 
-    def _measure(self) -> dict[str, int]:
+    def _measure_load(self) -> dict[str, int]:
         return {
             "running": self._batch.running,
             "queued": self._batch.queued,
             "prefill_backlog_tokens": self._batch.backlog_tokens,
-            "kv_used": self._batch.kv_used_tokens + self._exports.tokens,
+            "kv_used": self._batch.kv_used_tokens + self._kv_exports.tokens,
             "kv_capacity": self._settings.limits.kv_capacity_tokens,
         }
 
     def _get_load(self, request: Any) -> Any:
         if self._faults.silent:
-            return server.stay_silent()
+            return server.never_answer()
         now = time.monotonic()
-        figures, age_s = self._read_figures(now)
-        report = change.describe(self._changes)
+        figures, age_s = self._sample_load(now)
+        report = change.describe_state(self._changes)
         return server.answer(request, {**report, **figures, "age_s": age_s})
 
-    def _read_figures(self, now: float) -> tuple[dict[str, int], float]:
+    def _sample_load(self, now: float) -> tuple[dict[str, int], float]:
         """Returns figures as old as the lag, as far as they were taken.
 
         Figures are taken when asked for, not by a clock: each question takes
         them for a later one, so that an engine nobody asks costs nothing.
         """
         lag_s = self._settings.load_lag_s
-        self._reports.append((now, self._measure()))
-        while len(self._reports) > 1 and self._reports[1][0] <= now - lag_s:
-            self._reports.popleft()
-        taken_s, figures = self._reports[0]
+        self._samples.append((now, self._measure_load()))
+        while len(self._samples) > 1 and self._samples[1][0] <= now - lag_s:
+            self._samples.popleft()
+        taken_s, figures = self._samples[0]
         return figures, round(now - taken_s, 3)
 
     def _get_cache_events(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         start = int(server.read_number(request, "from", 0))
         until = time.monotonic() - self._settings.cache_lag_s
         events = self._cache.read_events(start, until)
@@ -366,28 +366,28 @@
         return server.answer(request, {"events": events, "next": after})
 
     def _post_order(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         order = change.parse_order(request.content.read())
         if order is None:
             return server.answer(request, {"code": "bad_order"}, code=400)
-        refusal = self._changes.take(order)
+        refusal = self._changes.submit(order)
         if refusal:
             return server.answer(request, {"code": refusal}, code=409)
         return server.answer(request, {"accepted": True}, code=202)
 
     def _post_drain(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         self._changes.drain()
         return server.answer(request, {})
 
     def _get_ledger(self, request: Any) -> bytes:
         return server.answer(request, self._ledger)
 
-    def _take_crash_s(self) -> float | None:
+    def _next_crash_s(self) -> float | None:
         if self._faults.crash_changes <= 0:
             return None
         self._faults.crash_changes -= 1
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/enginemodel.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/enginemodel.py
@@ -33,7 +33,7 @@
 
 KV_CAPACITY_TOKENS = 120_000
 CACHE_BLOCKS = 1500
-CHANGE_S = 6.0
+ROLE_CHANGE_S = 6.0
 TRANSFER_S = 0.02
 TRANSFER_S_PER_TOKEN = 1e-6
 
@@ -47,9 +47,9 @@
         prompt_tokens: Tokens to hold, with those of an earlier attempt.
         output_tokens: Tokens to generate.
         priority: Smaller is read sooner.
-        decode_at: The engine that generates, or None for this one.
-        on_read: Called when the prompt has been read.
-        on_first: Called at the first token.
+        decode_engine: The engine that generates, or None for this one.
+        on_prefilled: Called when the prompt has been read.
+        on_first_token: Called at the first token.
         on_done: Called at the end.
         on_failed: Called when the engine is lost or refuses.
     """
@@ -59,14 +59,14 @@
     output_tokens: int
     prefix: tuple[int, ...]
     priority: int
-    decode_at: "Engine | None"
-    on_read: Callable[[], None]
-    on_first: Callable[[], None]
+    decode_engine: "Engine | None"
+    on_prefilled: Callable[[], None]
+    on_first_token: Callable[[], None]
     on_done: Callable[[], None]
     on_failed: Callable[[], None]
-    unread: float = 0.0
+    unprefilled_tokens: float = 0.0
     end_at: float = 0.0
-    at: "Engine | None" = None
+    current_engine: "Engine | None" = None
     ended: bool = False
     tokens_done: int = 0
     cached_tokens: int = 0
@@ -93,19 +93,19 @@
         self.zone = zone
         self.role = role
         self.state = work.EndpointState.SERVING
-        self.slow = 1.0
+        self.slow_factor = 1.0
         self.changes = 0
         self.away_s = 0.0
         self._numbers = itertools.count()
         self._queue: list[tuple[int, int, Job]] = []
-        self._reading: Job | None = None
+        self._prefilling: Job | None = None
         self._imports: collections.deque[Job] = collections.deque()
-        self._answers: list[tuple[float, int, Job]] = []
-        self._holding: dict[Job, None] = {}
-        self._kv = 0
-        self._decoded = 0.0
-        self._at = 0.0
-        self._version = 0
+        self._decoding: list[tuple[float, int, Job]] = []
+        self._admitted: dict[Job, None] = {}
+        self._kv_used_tokens = 0
+        self._decode_steps = 0.0
+        self._updated_at = 0.0
+        self._timer_version = 0
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -121,7 +121,7 @@
     @property
     def jobs(self) -> int:
         """Requests that are here, waiting or running."""
-        return len(self._holding) + len(self._queue) + len(self._imports)
+        return len(self._admitted) + len(self._queue) + len(self._imports)
 
     def submit(self, job: Job) -> bool:
         """Takes a request, or returns False when it doesn't start it."""
@@ -129,49 +129,49 @@
             return False
         if self.role is work.Role.DECODE:
             return False
-        if self.role is work.Role.PREFILL and job.decode_at is None:
+        if self.role is work.Role.PREFILL and job.decode_engine is None:
             return False
-        job.at = self
+        job.current_engine = self
         heapq.heappush(self._queue, (job.priority, next(self._numbers), job))
-        self._wake()
+        self._update()
         return True
 
     def cancel(self, job: Job) -> None:
         """Drops a request wherever it is here."""
         job.ended = True
         self._advance()
-        if job in self._holding:
-            self._free(job)
-            if self._reading is job:
-                self._reading = None
-            self._answers = [a for a in self._answers if a[2] is not job]
-            heapq.heapify(self._answers)
-        self._wake()
-
-    def lose(self) -> None:
+        if job in self._admitted:
+            self._release(job)
+            if self._prefilling is job:
+                self._prefilling = None
+            self._decoding = [a for a in self._decoding if a[2] is not job]
+            heapq.heapify(self._decoding)
+        self._update()
+
+    def crash(self) -> None:
         """Ends at once, with all that it had."""
         self._advance()
         self.state = work.EndpointState.DOWN
         failed = [job for _, _, job in self._queue]
-        failed += [*self._imports, *self._holding]
-        for _, _, job in self._answers:
+        failed += [*self._imports, *self._admitted]
+        for _, _, job in self._decoding:
             job.tokens_done = self.generated(job)
-        self._queue, self._answers = [], []
+        self._queue, self._decoding = [], []
         self._imports.clear()
-        self._holding.clear()
+        self._admitted.clear()
         self._cache.clear()
-        self._reading = None
-        self._kv = 0
-        self._version += 1
+        self._prefilling = None
+        self._kv_used_tokens = 0
+        self._timer_version += 1
         for job in failed:
             self._fail(job)
 
-    def come_back(self) -> None:
+    def resume_serving(self) -> None:
         """Serves again, with an empty cache."""
         self.state = work.EndpointState.SERVING
-        self._at = self._env.now
+        self._updated_at = self._env.now
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Finishes what it has and takes nothing new."""
         self.state = work.EndpointState.LEAVING
 
@@ -180,34 +180,35 @@
         self.state = work.EndpointState.LEAVING
         self.changes += 1
         self._next_role = role
-        self._maybe_change()
+        self._change_role_if_idle()
 
-    def set_slow(self, factor: float) -> None:
+    def set_slow_factor(self, factor: float) -> None:
         """Makes every step take this many times as long."""
         self._advance()
-        self.slow = factor
-        self._wake()
+        self.slow_factor = factor
+        self._update()
 
     def generated(self, job: Job) -> int:
         """Returns how many tokens of an answer have been generated."""
         self._advance()
-        left = max(0.0, job.end_at - self._decoded)
+        left = max(0.0, job.end_at - self._decode_steps)
         return max(0, int(job.output_tokens - left))
 
     def load(self) -> work.LoadReport:
         """Returns its present figures."""
         self._advance()
-        unread = sum(
-            job.unread or job.prompt_tokens for _, _, job in self._queue
+        unprefilled_tokens = sum(
+            job.unprefilled_tokens or job.prompt_tokens
+            for _, _, job in self._queue
         )
-        if self._reading is not None:
-            unread += self._reading.unread
+        if self._prefilling is not None:
+            unprefilled_tokens += self._prefilling.unprefilled_tokens
         return work.LoadReport(
             endpoint=self.address,
-            running=len(self._holding),
+            running=len(self._admitted),
             queued=len(self._queue) + len(self._imports),
-            prefill_backlog_tokens=round(unread),
-            kv_used_tokens=self._kv,
+            prefill_backlog_tokens=round(unprefilled_tokens),
+            kv_used_tokens=self._kv_used_tokens,
             kv_capacity_tokens=KV_CAPACITY_TOKENS,
         )
 
@@ -222,100 +223,108 @@
         if self.state is work.EndpointState.DOWN:
             self._fail(job)
             return
-        job.at = self
+        job.current_engine = self
         self._imports.append(job)
-        self._wake()
+        self._update()
 
-    def _maybe_change(self) -> None:
+    def _change_role_if_idle(self) -> None:
         if self._next_role is None or self.jobs:
             return
         role, self._next_role = self._next_role, None
         self.state = work.EndpointState.CHANGING
-        self.away_s += CHANGE_S
-        self._later(CHANGE_S, lambda: self._changed(role))
+        self.away_s += ROLE_CHANGE_S
+        self._call_later(ROLE_CHANGE_S, lambda: self._finish_role_change(role))
 
-    def _changed(self, role: work.Role) -> None:
+    def _finish_role_change(self, role: work.Role) -> None:
         if self.state is work.EndpointState.CHANGING:
             self.role = role
-            self.come_back()
+            self.resume_serving()
             self.on_changed()
 
-    def _later(self, delay_s: float, callback: Callable[[], None]) -> None:
+    def _call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
         event = self._env.timeout(delay_s)
         event.callbacks.append(lambda _: callback())
 
     # Progress between events.
 
     def _step_s(self) -> float:
-        step = STEP_S + STEP_S_PER_REQUEST * len(self._answers)
-        if self._reading is not None:
+        step = STEP_S + STEP_S_PER_REQUEST * len(self._decoding)
+        if self._prefilling is not None:
             step += CHUNK_TOKENS / PREFILL_TOKENS_PER_S
-        return step * self.slow
+        return step * self.slow_factor
 
-    def _read_rate(self) -> float:
+    def _prefill_rate(self) -> float:
         if self.role is work.Role.PREFILL:
-            return PREFILL_TOKENS_PER_S / self.slow
+            return PREFILL_TOKENS_PER_S / self.slow_factor
         return CHUNK_TOKENS / self._step_s()
 
     def _advance(self) -> None:
-        elapsed = self._env.now - self._at
-        self._at = self._env.now
+        elapsed = self._env.now - self._updated_at
+        self._updated_at = self._env.now
         if elapsed <= 0.0:
             return
-        if self._answers:
-            self._decoded += elapsed / self._step_s()
-        if self._reading is not None:
-            self._reading.unread -= elapsed * self._read_rate()
+        if self._decoding:
+            self._decode_steps += elapsed / self._step_s()
+        if self._prefilling is not None:
+            self._prefilling.unprefilled_tokens -= (
+                elapsed * self._prefill_rate()
+            )
 
-    def _wake(self) -> None:
+    def _update(self) -> None:
         """Brings all up to now, starts what can start, plans the next event."""
         self._advance()
         self._finish_due()
         self._start_due()
-        self._version += 1
-        version = self._version
+        self._timer_version += 1
+        version = self._timer_version
         delays = []
-        if self._answers:
-            left = self._answers[0][0] - self._decoded
+        if self._decoding:
+            left = self._decoding[0][0] - self._decode_steps
             delays.append(left * self._step_s())
-        if self._reading is not None:
-            delays.append(self._reading.unread / self._read_rate())
+        if self._prefilling is not None:
+            delays.append(
+                self._prefilling.unprefilled_tokens / self._prefill_rate()
+            )
         if delays:
             delay = max(min(delays), 0.0) + 1e-7
-            self._later(delay, lambda: self._tick(version))
-        self._maybe_change()
+            self._call_later(delay, lambda: self._tick(version))
+        self._change_role_if_idle()
 
     def _tick(self, version: int) -> None:
-        if version == self._version:
-            self._wake()
+        if version == self._timer_version:
+            self._update()
 
     def _finish_due(self) -> None:
-        while self._answers and self._answers[0][0] <= self._decoded + 1e-6:
-            job = heapq.heappop(self._answers)[2]
-            self._free(job)
+        while (
+            self._decoding and self._decoding[0][0] <= self._decode_steps + 1e-6
+        ):
+            job = heapq.heappop(self._decoding)[2]
+            self._release(job)
             job.ended = True
             job.on_done()
-        job = self._reading
-        if job is not None and job.unread <= 1e-3:
-            self._reading = None
-            self._store(job.prefix)
-            job.on_read()
-            if job.decode_at is None:
-                self._answer(job)
+        job = self._prefilling
+        if job is not None and job.unprefilled_tokens <= 1e-3:
+            self._prefilling = None
+            self._cache_prefix(job.prefix)
+            job.on_prefilled()
+            if job.decode_engine is None:
+                self._start_decode(job)
             else:
-                self._free(job)
+                self._release(job)
                 delay = TRANSFER_S + TRANSFER_S_PER_TOKEN * job.prompt_tokens
-                target = job.decode_at
-                self._later(delay, lambda: target._import(job))
+                target = job.decode_engine
+                self._call_later(delay, lambda: target._import(job))
 
-    def _answer(self, job: Job) -> None:
-        job.end_at = self._decoded + max(job.output_tokens - 1, 0)
-        heapq.heappush(self._answers, (job.end_at, next(self._numbers), job))
-        job.on_first()
+    def _start_decode(self, job: Job) -> None:
+        job.end_at = self._decode_steps + max(job.output_tokens - 1, 0)
+        heapq.heappush(self._decoding, (job.end_at, next(self._numbers), job))
+        job.on_first_token()
 
     def _fits(self, job: Job) -> bool:
-        room = self._kv + job.kv_tokens <= KV_CAPACITY_TOKENS
-        return len(self._holding) < self.slots and (room or not self._holding)
+        has_memory = self._kv_used_tokens + job.kv_tokens <= KV_CAPACITY_TOKENS
+        return len(self._admitted) < self.slots and (
+            has_memory or not self._admitted
+        )
 
     def _start_due(self) -> None:
         while self._imports and (
@@ -323,43 +332,45 @@
         ):
             job = self._imports.popleft()
             if not job.ended:
-                self._hold(job)
-                self._answer(job)
+                self._admit(job)
+                self._start_decode(job)
         self._preempt()
-        while self._reading is None and self._queue:
+        while self._prefilling is None and self._queue:
             job = self._queue[0][2]
             if job.ended:
                 heapq.heappop(self._queue)
                 continue
-            if job not in self._holding and not self._fits(job):
+            if job not in self._admitted and not self._fits(job):
                 return
             heapq.heappop(self._queue)
-            if job not in self._holding:
-                self._hold(job)
-                job.cached_tokens = self._cached(job)
-                job.unread = max(1.0, job.prompt_tokens - job.cached_tokens)
-            self._reading = job
+            if job not in self._admitted:
+                self._admit(job)
+                job.cached_tokens = self._match_prefix(job)
+                job.unprefilled_tokens = max(
+                    1.0, job.prompt_tokens - job.cached_tokens
+                )
+            self._prefilling = job
 
     def _preempt(self) -> None:
         """A sooner priority is read first, from the next chunk on."""
-        job = self._reading
+        job = self._prefilling
         if job is None or not self._queue:
             return
         if self._queue[0][0] < job.priority and self._fits(self._queue[0][2]):
-            self._reading = None
+            self._prefilling = None
             heapq.heappush(
                 self._queue, (job.priority, -next(self._numbers), job)
             )
 
-    def _hold(self, job: Job) -> None:
-        self._holding[job] = None
-        self._kv += job.kv_tokens
+    def _admit(self, job: Job) -> None:
+        self._admitted[job] = None
+        self._kv_used_tokens += job.kv_tokens
 
-    def _free(self, job: Job) -> None:
-        del self._holding[job]
-        self._kv -= job.kv_tokens
+    def _release(self, job: Job) -> None:
+        del self._admitted[job]
+        self._kv_used_tokens -= job.kv_tokens
 
-    def _cached(self, job: Job) -> int:
+    def _match_prefix(self, job: Job) -> int:
         count = 0
         for block in job.prefix:
             if block not in self._cache:
@@ -368,7 +379,7 @@
             count += 1
         return count * work.BLOCK_TOKENS
 
-    def _store(self, prefix: tuple[int, ...]) -> None:
+    def _cache_prefix(self, prefix: tuple[int, ...]) -> None:
         for block in prefix:
             self._cache[block] = None
             self._cache.move_to_end(block)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/greedyplan.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/greedyplan.py
@@ -25,9 +25,9 @@
         """Takes in a host's demand so far."""
         before = self._seen.get(host, demand)
         self._seen[host] = demand
-        read = demand.prefill_tokens - before.prefill_tokens
-        answered = demand.output_tokens - before.output_tokens
-        self._samples.append((now, read, answered))
+        prefill_demand = demand.prefill_tokens - before.prefill_tokens
+        decode_demand = demand.output_tokens - before.output_tokens
+        self._samples.append((now, prefill_demand, decode_demand))
         while self._samples[0][0] < now - WINDOW_S:
             self._samples.popleft()
 
@@ -38,17 +38,23 @@
         serving = [
             e for e in view.endpoints if e.state is work.EndpointState.SERVING
         ]
-        read = sum(s[1] for s in self._samples) / view.prefill_tokens_per_s
-        answered = sum(s[2] for s in self._samples) / view.decode_tokens_per_s
-        if len(serving) < 2 or read + answered <= 0.0:
+        prefill_demand = (
+            sum(s[1] for s in self._samples) / view.prefill_tokens_per_s
+        )
+        decode_demand = (
+            sum(s[2] for s in self._samples) / view.decode_tokens_per_s
+        )
+        if len(serving) < 2 or prefill_demand + decode_demand <= 0.0:
             return None
-        wanted = round(len(serving) * read / (read + answered))
+        wanted = round(
+            len(serving) * prefill_demand / (prefill_demand + decode_demand)
+        )
         wanted = min(max(wanted, 1), len(serving) - 1)
         prefill, decode = work.Role.PREFILL, work.Role.DECODE
-        readers = [e for e in serving if e.role is prefill]
-        role = prefill if len(readers) < wanted else decode
+        prefillers = [e for e in serving if e.role is prefill]
+        role = prefill if len(prefillers) < wanted else decode
         others = [e for e in serving if e.role is not role]
-        if role is decode and len(readers) == wanted:
+        if role is decode and len(prefillers) == wanted:
             others = [e for e in others if e.role is work.Role.MIXED]
         if not others:
             return None
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/hostlist.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/hostlist.py
@@ -29,13 +29,13 @@
 
     def __init__(self, *, lag_s: float = 0.0):
         self._lag_s = lag_s
-        self._set_version = 0
-        self._seen: dict[str, Any] = {"version": 0, "hosts": []}
+        self._latest_version = 0
+        self._visible: dict[str, Any] = {"version": 0, "hosts": []}
         self._faults = HostListFaults()
         self._app = klein.Klein()
         self._app.route("/hosts", methods=["GET"])(self._get_hosts)
         self._app.route("/hosts", methods=["PUT"])(self._put_hosts)
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=HostListFaults,
             read=lambda: self._faults,
@@ -59,31 +59,31 @@
         Returns:
             The version under which readers will see it.
         """
-        self._set_version += 1
-        seen = {"version": self._set_version, "hosts": hosts}
+        self._latest_version += 1
+        seen = {"version": self._latest_version, "hosts": hosts}
         delay_s = self._lag_s if lag_s is None else lag_s
         if delay_s > 0:
-            reactor.callLater(delay_s, self._show, seen)
+            reactor.callLater(delay_s, self._publish, seen)
         else:
-            self._show(seen)
-        return self._set_version
+            self._publish(seen)
+        return self._latest_version
 
-    def _show(self, seen: dict[str, Any]) -> None:
+    def _publish(self, seen: dict[str, Any]) -> None:
         # A change with a long lag must not undo a later one with a short lag.
-        if seen["version"] > self._seen["version"]:
-            self._seen = seen
+        if seen["version"] > self._visible["version"]:
+            self._visible = seen
 
     def _set_faults(self, faults: HostListFaults) -> None:
         self._faults = faults
 
     def _get_hosts(self, request: Any) -> Any:
         if self._faults.silent:
-            return server.stay_silent()
+            return server.never_answer()
         if self._faults.outage:
             return server.answer(request, {"code": "outage"}, code=503)
         if self._faults.nonsense:
             return b"<nonsense>"
-        return server.answer(request, self._seen)
+        return server.answer(request, self._visible)
 
     def _put_hosts(self, request: Any) -> bytes:
         raw = server.read_json(request)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/kvcache.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/kvcache.py
@@ -9,38 +9,38 @@
 from bulrushgrade_standins import batch
 from bulrushgrade_standins import completion
 
-_LIFE_S = 30.0
+_ENTRY_TTL_S = 30.0
 _FETCH_TIMEOUT_S = 5.0
 
 
-class Exports:
+class KvExports:
     """The exported KV cache of prompts, by handle, for a limited time."""
 
     def __init__(self):
         self._numbers = itertools.count()
-        self._held: dict[str, tuple[str, float]] = {}
+        self._entries: dict[str, tuple[str, float]] = {}
 
     @property
     def tokens(self) -> int:
         """How many tokens are held."""
-        self._drop_old()
-        return sum(batch.count_tokens(p) for p, _ in self._held.values())
+        self._drop_expired()
+        return sum(batch.count_tokens(p) for p, _ in self._entries.values())
 
     def export(self, prompt: str) -> str:
         """Holds the KV cache of a prompt and returns its handle."""
         handle = f"kv-{next(self._numbers)}"
-        self._held[handle] = (prompt, time.monotonic() + _LIFE_S)
+        self._entries[handle] = (prompt, time.monotonic() + _ENTRY_TTL_S)
         return handle
 
     def find(self, handle: str) -> str | None:
         """Returns the prompt behind a handle, or None where it is gone."""
-        self._drop_old()
-        prompt, _ = self._held.get(handle, (None, 0.0))
+        self._drop_expired()
+        prompt, _ = self._entries.get(handle, (None, 0.0))
         return prompt
 
-    def _drop_old(self) -> None:
+    def _drop_expired(self) -> None:
         now = time.monotonic()
-        self._held = {h: e for h, e in self._held.items() if e[1] > now}
+        self._entries = {h: e for h, e in self._entries.items() if e[1] > now}
 
 
 async def fetch(source: completion.KvSource, prompt: str) -> bool:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/ledger.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/ledger.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define(kw_only=True)
-class HeldOrder:
+class OrderEntry:
     """One order that an engine held.
 
     Attributes:
@@ -62,5 +62,5 @@
     """
 
     runs: list[Run] = attrs.field(factory=list)
-    orders: list[HeldOrder] = attrs.field(factory=list)
+    orders: list[OrderEntry] = attrs.field(factory=list)
     refused: int = 0
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/link.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/link.py
@@ -47,7 +47,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         self.transport.setTcpNoDelay(True)
-        self._pair.on_made(self)
+        self._pair.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self._pair.on_data(self._direction, data)
@@ -63,7 +63,7 @@
         self._link = link
         self._silenced = ""
         self._ended = 0
-        self._early: list[bytes] = []
+        self._pending: list[bytes] = []
         self.caller = _Side(pair=self, direction="up")
         self.target = _Side(pair=self, direction="down")
 
@@ -75,10 +75,10 @@
             if side.transport is not None:
                 side.transport.abortConnection()
 
-    def on_made(self, side: _Side) -> None:
+    def on_connected(self, side: _Side) -> None:
         if side is self.target:
-            early, self._early = self._early, []
-            for data in early:
+            pending, self._pending = self._pending, []
+            for data in pending:
                 side.transport.write(data)
             return
         if self._link.faults.cut:
@@ -118,7 +118,7 @@
     def _forward(self, direction: str, data: bytes) -> None:
         side = self.target if direction == "up" else self.caller
         if side.transport is None:
-            self._early.append(data)
+            self._pending.append(data)
         else:
             side.transport.write(data)
 
@@ -141,7 +141,7 @@
         self._faults = LinkFaults()
         self._pairs: set[_Pair] = set()
         self._app = klein.Klein()
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=LinkFaults,
             read=lambda: self._faults,
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/log.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/log.py
@@ -36,7 +36,7 @@
             connection reset instead of an answer.
         lose_requests: How many appends to come have their connection reset
             without taking effect.
-        stream: Appends counted by the two above are only those to streams
+        stream: The two faults above apply to appends to streams
             whose names start with this.
     """
 
@@ -66,17 +66,17 @@
     def __init__(self, *, per_s: float, clock: Callable[[], float]):
         self._per_s = per_s
         self._clock = clock
-        self._left = per_s
-        self._at = clock()
+        self._tokens = per_s
+        self._refilled_at = clock()
 
-    def take(self, count: int) -> bool:
+    def try_acquire(self, count: int) -> bool:
         now = self._clock()
-        earned = (now - self._at) * self._per_s
-        self._left = min(self._per_s, self._left + earned)
-        self._at = now
-        if count > self._left:
+        refilled = (now - self._refilled_at) * self._per_s
+        self._tokens = min(self._per_s, self._tokens + refilled)
+        self._refilled_at = now
+        if count > self._tokens:
             return False
-        self._left -= count
+        self._tokens -= count
         return True
 
 
@@ -100,7 +100,7 @@
         route(path, methods=["GET"])(self._get_records)
         route("/trim", methods=["POST"])(self._post_trim)
         route("/counts", methods=["GET"])(self._get_counts)
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=LogFaults,
             read=lambda: self._faults,
@@ -118,18 +118,18 @@
 
     def trim(self, stream: str, offset: int) -> None:
         """Drops the records of a stream before an offset."""
-        kept = self._streams.setdefault(stream, _Stream())
-        dropped = min(max(0, offset - kept.earliest), len(kept.records))
-        del kept.records[:dropped]
-        kept.earliest += dropped
+        stored = self._streams.setdefault(stream, _Stream())
+        dropped = min(max(0, offset - stored.earliest), len(stored.records))
+        del stored.records[:dropped]
+        stored.earliest += dropped
 
-    async def _disturb(self, request: Any) -> bytes | None:
+    async def _apply_fault(self, request: Any) -> bytes | None:
         """Returns the answer that a fault forces, or None."""
         faults = self._faults
         if faults.slow_s:
             await server.sleep(faults.slow_s)
         if faults.silent:
-            await server.stay_silent()
+            await server.never_answer()
         if faults.outage:
             return server.answer(request, {"code": "outage"}, code=503)
         if faults.nonsense:
@@ -140,28 +140,28 @@
         raw = server.read_json(request)
         faults = self._faults
         if faults.outage or faults.silent or faults.nonsense:
-            return await self._disturb(request)
+            return await self._apply_fault(request)
         try:
             records = [(r["id"], r["body"]) for r in raw["records"]]
         except (KeyError, TypeError):
             return server.answer(request, {"code": "bad_append"}, code=400)
-        counted = stream.startswith(faults.stream)
-        if counted and faults.lose_requests > 0:
+        is_affected = stream.startswith(faults.stream)
+        if is_affected and faults.lose_requests > 0:
             faults.lose_requests -= 1
             return server.abort(request)
-        if not self._limit.take(len(records)):
+        if not self._limit.try_acquire(len(records)):
             self._counts["refused"] += 1
             return server.answer(
                 request, {"code": "overload"}, code=429, Retry_After="1"
             )
         offsets = self._append(stream, records)
-        if counted and faults.lose_answers > 0:
+        if is_affected and faults.lose_answers > 0:
             faults.lose_answers -= 1
             return server.abort(request)
         # A fault that began meanwhile hides the answer of an append that has
         # taken effect, as an outage of a real service would.
-        forced = await self._disturb(request)
-        return forced or server.answer(request, {"offsets": offsets})
+        fault_response = await self._apply_fault(request)
+        return fault_response or server.answer(request, {"offsets": offsets})
 
     def _append(self, name: str, records: list[tuple[str, str]]) -> list[int]:
         stream = self._streams.setdefault(name, _Stream())
@@ -182,16 +182,16 @@
             wait_s = server.read_number(request, "wait_s", 0.0)
         except ValueError:
             return server.answer(request, {"code": "bad_read"}, code=400)
-        forced = await self._disturb(request)
-        if forced is not None:
-            return forced
-        kept = self._streams.setdefault(stream, _Stream())
-        if start >= kept.end and wait_s > 0:
-            await _wait_for_append(kept, min(wait_s, _MAX_WAIT_S))
+        fault_response = await self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
+        stored = self._streams.setdefault(stream, _Stream())
+        if start >= stored.end and wait_s > 0:
+            await _wait_for_append(stored, min(wait_s, _MAX_WAIT_S))
             faults = self._faults
             if faults.outage or faults.silent or faults.nonsense:
-                return await self._disturb(request)
-        return server.answer(request, _make_page(kept, start, limit))
+                return await self._apply_fault(request)
+        return server.answer(request, _make_page(stored, start, limit))
 
     def _post_trim(self, request: Any) -> bytes:
         raw = server.read_json(request) or {}
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/outcome.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/outcome.py
@@ -33,8 +33,8 @@
         """Mean seconds between tokens of a complete answer."""
         if self.outcome != "complete" or self.request.output_tokens < 2:
             return None
-        took = self.ended_at - self.first_at
-        return took / (self.request.output_tokens - 1)
+        decode_s = self.ended_at - self.first_at
+        return decode_s / (self.request.output_tokens - 1)
 
     @property
     def on_time(self) -> bool:
@@ -56,7 +56,7 @@
     """An entry host: a scheduler and its own view of the fleet."""
 
     name: str
-    decider: Any
+    policy: Any
     view: dict[str, work.Endpoint]
     calls: dict[str, Call] = attrs.field(factory=dict)
     poll_at: float | None = None
@@ -72,7 +72,7 @@
         role_changes: How many were ordered.
         away_s: Seconds that engines were away for them.
         retries: Attempts after one that had started.
-        turned_away: Attempts after one that an engine did not start.
+        rejections: Attempts after one that an engine did not start.
         dumps: The hosts' states at the end.
     """
 
@@ -81,7 +81,7 @@
     role_changes: int
     away_s: float
     retries: int
-    turned_away: int
+    rejections: int
     dumps: tuple[dict[str, Any], ...]
 
 
@@ -109,7 +109,7 @@
         "p95_between_s": _percentile(steps, 0.95),
         "role_changes": outcome.role_changes,
         "retries": outcome.retries,
-        "turned_away": outcome.turned_away,
+        "turned_away": outcome.rejections,
     }
 
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/plain.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/plain.py
@@ -46,11 +46,11 @@
         self._faults = PlainFaults()
         self._draining = False
         self._running = 0
-        self._idle: list[defer.Deferred] = []
+        self._idle_waiters: list[defer.Deferred] = []
         self._app = klein.Klein()
         self._app.route("/ledger", methods=["GET"])(self._get_ledger)
         self._app.route("/drain", methods=["POST"])(self._post_drain)
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=PlainFaults,
             read=lambda: self._faults,
@@ -77,17 +77,17 @@
         """Refuses new requests; fires when those in flight are done."""
         self._draining = True
         idle: defer.Deferred = defer.Deferred()
-        self._idle.append(idle)
+        self._idle_waiters.append(idle)
         self._check_idle()
         return idle
 
     def _check_idle(self) -> None:
         if self._running == 0:
-            waiting, self._idle = self._idle, []
+            waiting, self._idle_waiters = self._idle_waiters, []
             for idle in waiting:
                 idle.callback(None)
 
-    def _take_faults(self) -> PlainFaults:
+    def _consume_faults(self) -> PlainFaults:
         """Returns the faults of one request and counts it."""
         faults = self._faults
         if faults.times is None:
@@ -101,10 +101,10 @@
         return defer.ensureDeferred(self._run(request, ""))
 
     async def _run(self, request: Any, path: str) -> Any:
-        faults = self._take_faults()
+        faults = self._consume_faults()
         attempt = server.read_header(request, "X-Attempt-Id")
-        shown = f"{attempt}-other" if faults.wrong_attempt else attempt
-        request.setHeader("X-Attempt-Id", shown)
+        sent_id = f"{attempt}-other" if faults.wrong_attempt else attempt
+        request.setHeader("X-Attempt-Id", sent_id)
         if self._draining or faults.refuse:
             self._ledger.refused += 1
             return server.answer_not_started(request, "refused")
@@ -124,7 +124,7 @@
             await server.sleep(self._work_s + faults.slow_s)
             run.ended = "done"
             if faults.silent:
-                await server.stay_silent()
+                await server.never_answer()
         except defer.CancelledError:
             run.ended = run.ended or "cut"
             raise
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/replay.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/replay.py
@@ -23,9 +23,9 @@
 from bulrushgrade_standins import outcome
 from bulrushgrade_standins import trace as traces
 
-PEER_EVERY_S = 0.25
+PEER_EXCHANGE_PERIOD_S = 0.25
 PEER_LAG_S = (0.01, 0.3)
-REPORT_EVERY_S = 1.0
+REPORT_PERIOD_S = 1.0
 REPORT_LAG_S = (0.3, 1.2)
 HOST_LIST_LAG_S = (0.5, 2.0)
 """How late a host learns that an engine is leaving, lost or back."""
@@ -33,14 +33,14 @@
 ORDER_LAG_S = (0.05, 0.4)
 """How late a host learns of a role change, which is on the log."""
 
-PLAN_EVERY_S = 2.0
-PACE_EVERY_S = 1.0
+PLAN_PERIOD_S = 2.0
+PROGRESS_PERIOD_S = 1.0
 """How often a host looks at the tokens that an answer has got."""
 
-GRACE_S = 60.0
+DRAIN_TIME_S = 60.0
 """Seconds past the trace's end for what is still running."""
 
-Make = Callable[[random.Random], Any]
+MakePolicy = Callable[[random.Random], Any]
 """Makes a host's scheduler, or a baseline in its place."""
 
 
@@ -66,7 +66,7 @@
         self,
         *,
         trace: traces.Trace,
-        make: Make,
+        make_policy: MakePolicy,
         planner: Planner | None,
         seed: int,
         roles: tuple[work.Role, ...] | None = None,
@@ -86,45 +86,46 @@
             for index, spec in enumerate(specs)
         }
         self._hosts = [
-            self._make_host(index, make) for index in range(trace.header.hosts)
+            self._make_host(index, make_policy)
+            for index in range(trace.header.hosts)
         ]
         self._calls: list[outcome.Call] = []
         self._retries = 0
-        self._turned_away = 0
+        self._rejections = 0
 
     def run(self) -> outcome.Outcome:
         """Replays the trace to its end."""
         self._env.process(self._feed())
         self._env.process(self._exchange())
-        self._env.process(self._pace())
+        self._env.process(self._report_progress())
         if self._planner is not None:
             self._env.process(self._plan())
-        self._env.run(until=self._trace.header.duration_s + GRACE_S)
+        self._env.run(until=self._trace.header.duration_s + DRAIN_TIME_S)
         return outcome.Outcome(
             trace=self._trace,
             calls=tuple(self._calls),
             role_changes=sum(e.changes for e in self._engines.values()),
             away_s=sum(e.away_s for e in self._engines.values()),
             retries=self._retries,
-            turned_away=self._turned_away,
+            rejections=self._rejections,
             dumps=tuple(
-                host.decider.dump()
+                host.policy.dump()
                 for host in self._hosts
-                if hasattr(host.decider, "dump")
+                if hasattr(host.policy, "dump")
             ),
         )
 
-    def _make_host(self, index: int, make: Make) -> outcome.Host:
-        decider = make(random.Random(self._rng.random()))
+    def _make_host(self, index: int, make_policy: MakePolicy) -> outcome.Host:
+        policy = make_policy(random.Random(self._rng.random()))
         view = {
-            address: self._describe(engine)
+            address: self._make_endpoint(engine)
             for address, engine in self._engines.items()
         }
-        decider.set_policies(self._trace.header.services)
-        decider.set_endpoints(tuple(view.values()), 0.0)
-        return outcome.Host(name=f"host-{index}", decider=decider, view=view)
+        policy.set_policies(self._trace.header.services)
+        policy.set_endpoints(tuple(view.values()), 0.0)
+        return outcome.Host(name=f"host-{index}", policy=policy, view=view)
 
-    def _describe(self, engine: enginemodel.Engine) -> work.Endpoint:
+    def _make_endpoint(self, engine: enginemodel.Engine) -> work.Endpoint:
         return work.Endpoint(
             address=engine.address,
             zone=engine.zone,
@@ -136,7 +137,7 @@
             kv_capacity_tokens=enginemodel.KV_CAPACITY_TOKENS,
         )
 
-    def _later(self, delay_s: float, callback: Callable[[], None]) -> None:
+    def _call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
         event = self._env.timeout(delay_s)
         event.callbacks.append(lambda _: callback())
 
@@ -147,11 +148,11 @@
         for item in sorted(items, key=lambda i: i.at_s):
             yield self._env.timeout(max(0.0, item.at_s - self._env.now))
             if isinstance(item, traces.Event):
-                self._happen(item)
+                self._apply_event(item)
             else:
-                self._arrive(item)
+                self._submit_request(item)
 
-    def _arrive(self, request: traces.Request) -> None:
+    def _submit_request(self, request: traces.Request) -> None:
         host = self._rng.choice(self._hosts)
         first = request.first_token_s
         now = self._env.now
@@ -162,7 +163,7 @@
             model="model",
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.expected_output_tokens,
-            prefix=traces.blocks_of(request.prefix),
+            prefix=traces.hash_blocks(request.prefix),
             deadline=now + request.deadline_s,
             first_token_deadline=None if first is None else now + first,
             between_tokens_s=request.between_tokens_s,
@@ -170,82 +171,84 @@
         call = outcome.Call(request=request, host=host, work=item)
         self._calls.append(call)
         host.calls[request.request_id] = call
-        self._settle(call, host.decider.offer(item, now))
-        self._later(request.deadline_s, lambda: self._leave(call))
+        self._apply_decision(call, host.policy.offer(item, now))
+        self._call_later(request.deadline_s, lambda: self._abandon(call))
 
-    def _happen(self, event: traces.Event) -> None:
+    def _apply_event(self, event: traces.Event) -> None:
         engine = self._engines[event.engine]
         if event.what == "slow":
-            engine.set_slow(event.factor)
+            engine.set_slow_factor(event.factor)
             return
         if event.what == "lose":
-            engine.lose()
+            engine.crash()
         elif event.what == "back":
-            engine.come_back()
+            engine.resume_serving()
         elif event.what == "leave":
-            engine.leave()
-        self._tell(engine, HOST_LIST_LAG_S)
+            engine.start_draining()
+        self._announce_state(engine, HOST_LIST_LAG_S)
 
-    def _tell(self, engine, lag_s, *, state=None) -> None:
+    def _announce_state(self, engine, lag_s, *, state=None) -> None:
         """Lets each host learn an engine's state, each at its own time."""
-        described = self._describe(engine)
+        announced = self._make_endpoint(engine)
         if state is not None:
-            described = attrs.evolve(described, state=state)
+            announced = attrs.evolve(announced, state=state)
         for host in self._hosts:
             delay = self._rng.uniform(*lag_s)
-            self._later(delay, lambda host=host: self._learn(host, described))
+            self._call_later(
+                delay, lambda host=host: self._update_view(host, announced)
+            )
 
-    def _learn(self, host: outcome.Host, endpoint: work.Endpoint) -> None:
+    def _update_view(self, host: outcome.Host, endpoint: work.Endpoint) -> None:
         host.view[endpoint.address] = endpoint
-        host.decider.set_endpoints(tuple(host.view.values()), self._env.now)
+        host.policy.set_endpoints(tuple(host.view.values()), self._env.now)
         self._poll(host)
 
     # A call's way.
 
-    def _settle(self, call: outcome.Call, decision: work.Decision) -> None:
+    def _apply_decision(
+        self, call: outcome.Call, decision: work.Decision
+    ) -> None:
         if isinstance(decision, work.Placed):
             self._start(call, decision)
         elif isinstance(decision, work.Refused):
-            self._end(call, "refused" if not call.attempts else "failed")
+            self._end_call(call, "refused" if not call.attempts else "failed")
         self._plan_poll(call.host)
 
     def _start(self, call: outcome.Call, placed: work.Placed) -> None:
         call.attempts += 1
         engine = self._engines[placed.endpoint]
         target = placed.decode_endpoint
-        decider, name = call.host.decider, call.request.request_id
+        policy, name = call.host.policy, call.request.request_id
         job = enginemodel.Job(
             request_id=name,
             prompt_tokens=call.request.prompt_tokens + call.tokens_done,
             output_tokens=call.request.output_tokens - call.tokens_done,
             prefix=call.work.prefix,
             priority=placed.priority,
-            decode_at=self._engines[target] if target else None,
-            on_read=lambda: decider.prefill_done(name, self._env.now),
-            on_first=lambda: self._first(call),
-            on_done=lambda: self._done(call),
+            decode_engine=self._engines[target] if target else None,
+            on_prefilled=lambda: policy.prefill_done(name, self._env.now),
+            on_first_token=lambda: self._first(call),
+            on_done=lambda: self._complete(call),
             on_failed=lambda: self._failed(call, job),
         )
-        job.at = engine
+        job.current_engine = engine
         call.job = job
         if not engine.submit(job):
             job.ended = True
-            turned = functools.partial(self._failed, call, job, started=False)
-            self._later(0.002, turned)
+            rejected = functools.partial(self._failed, call, job, started=False)
+            self._call_later(0.002, rejected)
 
     def _first(self, call: outcome.Call) -> None:
         if call.first_at is None:
             call.first_at = self._env.now
-        call.host.decider.first_token(call.request.request_id, self._env.now)
+        call.host.policy.first_token(call.request.request_id, self._env.now)
         self._poll_soon(call.host)
 
-    def _done(self, call: outcome.Call) -> None:
-        decider, name = call.host.decider, call.request.request_id
-        decider.tokens(name, call.job.output_tokens, self._env.now)
-        decider.finished(
-            name, "complete", self._env.now, call.job.cached_tokens
-        )
-        self._end(call, "complete")
+    def _complete(self, call: outcome.Call) -> None:
+        policy, name = call.host.policy, call.request.request_id
+        policy.tokens(name, call.job.output_tokens, self._env.now)
+        policy.finished(name, "complete", self._env.now, call.job.cached_tokens)
+        self._end_call(call, "complete")
         self._poll_soon(call.host)
 
     def _failed(
@@ -255,28 +258,28 @@
             return
         call.job = None
         call.tokens_done += job.tokens_done
-        decision = call.host.decider.retry(
+        decision = call.host.policy.retry(
             call.request.request_id,
-            job.at.address,
+            job.current_engine.address,
             call.tokens_done,
             self._env.now,
             started=started,
         )
         if not isinstance(decision, work.Refused):
             self._retries += started
-            self._turned_away += not started
-        self._settle(call, decision)
+            self._rejections += not started
+        self._apply_decision(call, decision)
 
-    def _leave(self, call: outcome.Call) -> None:
+    def _abandon(self, call: outcome.Call) -> None:
         if call.outcome:
             return
-        call.host.decider.cancel(call.request.request_id, self._env.now)
+        call.host.policy.cancel(call.request.request_id, self._env.now)
         if call.job is not None:
-            call.job.at.cancel(call.job)
-        self._end(call, "left")
+            call.job.current_engine.cancel(call.job)
+        self._end_call(call, "left")
         self._poll_soon(call.host)
 
-    def _end(self, call: outcome.Call, ended: str) -> None:
+    def _end_call(self, call: outcome.Call, ended: str) -> None:
         call.outcome = ended
         call.ended_at = self._env.now
         call.host.calls.pop(call.request.request_id, None)
@@ -285,22 +288,22 @@
 
     def _poll_soon(self, host: outcome.Host) -> None:
         if host.poll_at is not None:
-            self._later(0.0, lambda: self._poll(host))
+            self._call_later(0.0, lambda: self._poll(host))
 
     def _poll(self, host: outcome.Host) -> None:
         host.poll_at = None
-        for settled in host.decider.poll(self._env.now):
-            call = host.calls.get(settled.request_id)
+        for polled in host.policy.poll(self._env.now):
+            call = host.calls.get(polled.request_id)
             if call is not None:
-                self._settle(call, settled)
+                self._apply_decision(call, polled)
         self._plan_poll(host)
 
     def _plan_poll(self, host: outcome.Host) -> None:
-        due = host.decider.next_poll(self._env.now)
+        due = host.policy.next_poll(self._env.now)
         if due is None or host.poll_at is not None:
             return
         host.poll_at = due
-        self._later(
+        self._call_later(
             max(0.0, due - self._env.now), lambda: self._poll_due(host, due)
         )
 
@@ -309,34 +312,34 @@
             self._poll(host)
 
     def _exchange(self):
-        turns = 0
+        ticks = 0
         while True:
-            yield self._env.timeout(PEER_EVERY_S)
-            turns += 1
+            yield self._env.timeout(PEER_EXCHANGE_PERIOD_S)
+            ticks += 1
             for host in self._hosts:
-                loads = host.decider.own_loads()
+                loads = host.policy.own_loads()
                 for other in self._hosts:
                     if other is not host:
                         self._publish(host.name, loads, other)
-            if turns % round(REPORT_EVERY_S / PEER_EVERY_S) == 0:
+            if ticks % round(REPORT_PERIOD_S / PEER_EXCHANGE_PERIOD_S) == 0:
                 for engine in self._engines.values():
                     self._report(engine)
 
-    def _pace(self):
+    def _report_progress(self):
         while True:
-            yield self._env.timeout(PACE_EVERY_S)
+            yield self._env.timeout(PROGRESS_PERIOD_S)
             for host in self._hosts:
                 for name, call in host.calls.items():
                     if call.first_at is None or call.job is None:
                         continue
-                    count = call.job.at.generated(call.job)
-                    host.decider.tokens(name, count, self._env.now)
+                    count = call.job.current_engine.generated(call.job)
+                    host.policy.tokens(name, count, self._env.now)
 
     def _publish(self, peer, loads, other: outcome.Host) -> None:
         delay = self._rng.uniform(*PEER_LAG_S)
-        self._later(
+        self._call_later(
             delay,
-            lambda: other.decider.peer_load(peer, loads, self._env.now),
+            lambda: other.policy.peer_load(peer, loads, self._env.now),
         )
 
     def _report(self, engine: enginemodel.Engine) -> None:
@@ -345,59 +348,59 @@
         report = engine.load()
         for host in self._hosts:
             lag = self._rng.uniform(*REPORT_LAG_S)
-            late = attrs.evolve(report, age_s=lag)
-            self._later(
+            delayed = attrs.evolve(report, age_s=lag)
+            self._call_later(
                 lag,
-                lambda host=host, late=late: host.decider.report(
-                    late, self._env.now
+                lambda host=host, delayed=delayed: host.policy.report(
+                    delayed, self._env.now
                 ),
             )
 
     def _plan(self):
         holder = self._hosts[0]
         while True:
-            yield self._env.timeout(PLAN_EVERY_S)
+            yield self._env.timeout(PLAN_PERIOD_S)
             now = self._env.now
             for host in self._hosts:
-                for demand in host.decider.demand():
+                for demand in host.policy.demand():
                     self._planner.observe(host.name, demand, now)
             change = self._planner.propose(self._group_view(holder), now)
             if change is not None:
                 self._planner.record_change(change, now)
-                self._order(change)
+                self._order_change(change)
 
     def _group_view(self, holder: outcome.Host) -> roleplan.GroupView:
-        if hasattr(holder.decider, "capacity"):
-            read, generate = holder.decider.capacity("model")
+        if hasattr(holder.policy, "capacity"):
+            prefill_rate, decode_rate = holder.policy.capacity("model")
         else:
-            read = enginemodel.PREFILL_TOKENS_PER_S
-            generate = 16 / (
+            prefill_rate = enginemodel.PREFILL_TOKENS_PER_S
+            decode_rate = 16 / (
                 enginemodel.STEP_S + 16 * enginemodel.STEP_S_PER_REQUEST
             )
         return roleplan.GroupView(
             at=self._env.now,
             endpoints=tuple(holder.view.values()),
             running={a: e.jobs for a, e in self._engines.items()},
-            prefill_tokens_per_s=read,
-            decode_tokens_per_s=generate,
+            prefill_tokens_per_s=prefill_rate,
+            decode_tokens_per_s=decode_rate,
         )
 
-    def _order(self, change: roleplan.RoleChange) -> None:
+    def _order_change(self, change: roleplan.RoleChange) -> None:
         engine = self._engines[change.endpoint]
         leaving = work.EndpointState.LEAVING
-        self._tell(engine, ORDER_LAG_S, state=leaving)
-        engine.on_changed = lambda: self._tell(engine, ORDER_LAG_S)
-        self._later(
+        self._announce_state(engine, ORDER_LAG_S, state=leaving)
+        engine.on_changed = lambda: self._announce_state(engine, ORDER_LAG_S)
+        self._call_later(
             ORDER_LAG_S[1] + 0.01, lambda: engine.change_role(change.role)
         )
 
 
-def ours(rng: random.Random) -> scheduler.Scheduler:
+def new_scheduler(rng: random.Random) -> scheduler.Scheduler:
     """Makes a host with the decision core."""
     return scheduler.Scheduler(zone="", rng=rng)
 
 
-def role_plan(trace: traces.Trace) -> roleplan.RolePlan:
+def new_role_plan(trace: traces.Trace) -> roleplan.RolePlan:
     """Makes the role plan with the weights of a trace's services."""
     services = trace.header.services
     return roleplan.RolePlan(
@@ -414,7 +417,10 @@
         seed: Of the lags and of the hosts' random choices.
     """
     return Replay(
-        trace=trace, make=ours, planner=role_plan(trace), seed=seed
+        trace=trace,
+        make_policy=new_scheduler,
+        planner=new_role_plan(trace),
+        seed=seed,
     ).run()
 
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/report.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/report.py
@@ -30,47 +30,54 @@
 """Fixed splits that are replayed to find the best, besides the trace's own and
 all mixed; a fluid estimate ranks them."""
 
-FORCED_PART = 0.05
+FORCED_FRACTION = 0.05
 """Part of the refused work that is queued all the same in a run of its own,
 to see whether it would have been in time."""
 
-FEW_REFUSED = 0.01
+MIN_REFUSED_FRACTION = 0.01
 """Below this part of refusals too few would be forced to say anything."""
 
 Figures = dict[str, float]
 
 
-def _round_robin(_rng: random.Random) -> baseline.Baseline:
+def _make_round_robin(_rng: random.Random) -> baseline.Baseline:
     return baseline.Baseline(
-        read_pick=baseline.round_robin(), decode_pick=baseline.round_robin()
+        prefill_pick=baseline.round_robin(), decode_pick=baseline.round_robin()
     )
 
 
-def _least(rng: random.Random) -> baseline.Baseline:
+def _make_least_outstanding(rng: random.Random) -> baseline.Baseline:
     pick = baseline.least_outstanding(rng)
-    return baseline.Baseline(read_pick=pick, decode_pick=pick)
+    return baseline.Baseline(prefill_pick=pick, decode_pick=pick)
 
 
 def run_policy(policy: str, trace: traces.Trace, seed: int) -> Figures:
     """Replays a trace under one policy and returns its figures."""
     if policy == "ours":
         figures = _figures(
-            _run(trace, seed, replay.ours, replay.role_plan(trace))
+            _run(trace, seed, replay.new_scheduler, replay.new_role_plan(trace))
         )
-        if figures["refused_part"] >= FEW_REFUSED:
-            figures["dishonest"] = _dishonest(trace, seed)
+        if figures["refused_part"] >= MIN_REFUSED_FRACTION:
+            figures["dishonest"] = _measure_wrong_refusals(trace, seed)
         return figures
     if policy == "greedy":
-        return _figures(_run(trace, seed, _least, greedyplan.GreedyPlan()))
+        return _figures(
+            _run(trace, seed, _make_least_outstanding, greedyplan.GreedyPlan())
+        )
     if policy == "static":
         splits = bound.best_splits(trace, STATIC_SPLITS)
         splits += [None, (work.Role.MIXED,) * len(trace.header.engines)]
         runs = [
-            _figures(_run(trace, seed, _least, None, roles)) for roles in splits
+            _figures(_run(trace, seed, _make_least_outstanding, None, roles))
+            for roles in splits
         ]
         return max(runs, key=lambda figures: figures["good"])
-    make = _round_robin if policy == "round_robin" else _least
-    return _figures(_run(trace, seed, make, None))
+    make_policy = (
+        _make_round_robin
+        if policy == "round_robin"
+        else _make_least_outstanding
+    )
+    return _figures(_run(trace, seed, make_policy, None))
 
 
 def run_case(
@@ -81,9 +88,9 @@
         tracegen.DEPLOYMENTS[deployment], case, seed=seed, duration_s=duration_s
     )
     found = {policy: run_policy(policy, trace, seed) for policy in POLICIES}
-    most = bound.capacity_bound(trace)
+    upper_bound = bound.capacity_bound(trace)
     for figures in found.values():
-        figures["of_bound"] = figures["good"] / max(1, most)
+        figures["of_bound"] = figures["good"] / max(1, upper_bound)
     return found
 
 
@@ -140,12 +147,16 @@
 def _run(
     trace: traces.Trace,
     seed: int,
-    make: replay.Make,
+    make_policy: replay.MakePolicy,
     planner: replay.Planner | None,
     roles: tuple[work.Role, ...] | None = None,
 ) -> outcomes.Outcome:
     return replay.Replay(
-        trace=trace, make=make, planner=planner, seed=seed, roles=roles
+        trace=trace,
+        make_policy=make_policy,
+        planner=planner,
+        seed=seed,
+        roles=roles,
     ).run()
 
 
@@ -200,7 +211,7 @@
     return statistics.fmean(costs) if costs else 1.0
 
 
-def _dishonest(trace: traces.Trace, seed: int) -> float:
+def _measure_wrong_refusals(trace: traces.Trace, seed: int) -> float:
     """Part of refused work that would have been in time.
 
     In a run of its own, a small part of what is to be refused is queued like
@@ -208,29 +219,29 @@
     """
     forced: set[str] = set()
 
-    def make(rng: random.Random) -> scheduler.Scheduler:
+    def make_policy(rng: random.Random) -> scheduler.Scheduler:
         return scheduler.Scheduler(
             zone="",
             rng=rng,
-            predict_lateness=_forcing(forced, random.Random(seed)),
+            predict_lateness=_force_some(forced, random.Random(seed)),
         )
 
-    outcome = _run(trace, seed, make, replay.role_plan(trace))
+    outcome = _run(trace, seed, make_policy, replay.new_role_plan(trace))
     calls = [c for c in outcome.calls if c.request.request_id in forced]
     return sum(c.on_time for c in calls) / max(1, len(calls))
 
 
-def _forcing(
+def _force_some(
     forced: set[str], rng: random.Random
 ) -> Callable[[lane.QueuedWork, float, float], float]:
     def predict_lateness(
         item: lane.QueuedWork, wait_s: float, now: float
     ) -> float:
-        late_s = admission.predicted_lateness_s(item, wait_s, now)
-        if late_s > 0.0 and rng.random() < FORCED_PART:
+        lateness_s = admission.predicted_lateness_s(item, wait_s, now)
+        if lateness_s > 0.0 and rng.random() < FORCED_FRACTION:
             forced.add(item.work.request_id)
             return 0.0
-        return late_s
+        return lateness_s
 
     return predict_lateness
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/server.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/server.py
@@ -139,10 +139,10 @@
     """Resets the connection of a request; the caller sees no (more) answer."""
     if request.channel is not None:
         request.channel.transport.abortConnection()
-    return stay_silent()
+    return never_answer()
 
 
-def stay_silent() -> defer.Deferred:
+def never_answer() -> defer.Deferred:
     """Leaves a request without an answer until its caller goes away."""
     return defer.Deferred()
 
@@ -152,7 +152,7 @@
     return task.deferLater(reactor, delay_s)
 
 
-def route_faults(
+def add_fault_routes(
     *,
     app: klein.Klein,
     kind: type,
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/trace.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/trace.py
@@ -114,7 +114,7 @@
     events: tuple[Event, ...] = ()
 
 
-_BAD_LINE = (msgspec.MsgspecError, KeyError, AttributeError, TypeError)
+_PARSE_ERRORS = (msgspec.MsgspecError, KeyError, AttributeError, TypeError)
 _KINDS = {"header": Header, "request": Request, "event": Event}
 
 
@@ -143,7 +143,7 @@
             fields = msgspec.json.decode(line)
             kind = fields.pop("kind")
             found[kind].append(msgspec.convert(fields, _KINDS[kind]))
-        except _BAD_LINE as error:
+        except _PARSE_ERRORS as error:
             raise ValueError(f"{path}, line {number}: {error}") from error
     if len(found["header"]) != 1:
         raise ValueError(f"{path}: it needs one header")
@@ -155,17 +155,17 @@
 
 
 @functools.lru_cache(maxsize=50_000)
-def _segment(name: str, before: int, blocks: int) -> tuple[int, ...]:
+def _hash_segment(name: str, before: int, blocks: int) -> tuple[int, ...]:
     digest = xxhash.xxh3_64_intdigest
     return tuple(
         digest(f"{before}/{name}/{index}".encode()) for index in range(blocks)
     )
 
 
-def blocks_of(prefix: tuple[tuple[str, int], ...]) -> tuple[int, ...]:
+def hash_blocks(prefix: tuple[tuple[str, int], ...]) -> tuple[int, ...]:
     """Returns the hashes of a prompt's shared leading blocks."""
     found: tuple[int, ...] = ()
     for name, tokens in prefix:
         before = found[-1] if found else 0
-        found += _segment(name, before, tokens // work.BLOCK_TOKENS)
+        found += _hash_segment(name, before, tokens // work.BLOCK_TOKENS)
     return found
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/tracegen.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/tracegen.py
@@ -50,7 +50,7 @@
     services: tuple[work.ServicePolicy, ...]
     kinds: tuple[Kind, ...]
     rates: tuple[float, ...]
-    reading: str
+    prefill_heavy: str
 
 
 _P, _D, _M = work.Role.PREFILL, work.Role.DECODE, work.Role.MIXED
@@ -89,7 +89,7 @@
         ),
     ),
     rates=(1.75, 7.2, 4.8),
-    reading="grade",
+    prefill_heavy="grade",
 )  # fmt: skip
 
 OGEECHEE = Deployment(
@@ -121,7 +121,7 @@
         ),
     ),
     rates=(2.9, 18.8),
-    reading="turns",
+    prefill_heavy="turns",
 )  # fmt: skip
 
 DEPLOYMENTS = {item.name: item for item in (ORTAK, OGEECHEE)}
@@ -130,15 +130,15 @@
 """Factor on a kind's rate at a time of the trace."""
 
 
-USUAL = 0.8
+NORMAL_LOAD = 0.8
 """Load of an ordinary hour, as a part of capacity."""
 
 
 def _steady(_at: float, _kind: Kind) -> float:
-    return USUAL
+    return NORMAL_LOAD
 
 
-def _scaled(factor: float) -> Shape:
+def _constant_load(factor: float) -> Shape:
     return lambda _at, _kind: factor
 
 
@@ -146,10 +146,10 @@
     """Reading and chat trade places: one high while the other is low."""
 
     def shape(at: float, kind: Kind) -> float:
-        reading_high = int(at / period_s) % 2 == 0
-        is_reading = kind.service == deployment.reading
-        if is_reading == reading_high:
-            return 1.35 if is_reading else 1.5
+        prefill_heavy_high = int(at / period_s) % 2 == 0
+        is_prefill_heavy = kind.service == deployment.prefill_heavy
+        if is_prefill_heavy == prefill_heavy_high:
+            return 1.35 if is_prefill_heavy else 1.5
         return 0.3
 
     return shape
@@ -160,8 +160,8 @@
 
     def shape(at: float, kind: Kind) -> float:
         if at < DURATION_S / 3.0:
-            return USUAL
-        return 1.5 if kind.service == deployment.reading else 0.3
+            return NORMAL_LOAD
+        return 1.5 if kind.service == deployment.prefill_heavy else 0.3
 
     return shape
 
@@ -213,16 +213,16 @@
         "flips": _flips(deployment, 40.0),
         "shift": _shift(deployment),
         "bursts": _bursts,
-        "full1x": _scaled(1.0),
-        "full2x": _scaled(2.0),
-        "full4x": _scaled(4.0),
+        "full1x": _constant_load(1.0),
+        "full2x": _constant_load(2.0),
+        "full4x": _constant_load(4.0),
         "outage": _outage,
     }
     shape = shapes.get(case, _steady)
     if case == "mix":
-        shape = _long_and_short(deployment)
+        shape = _alternating_floods(deployment)
     skew = 1.6 if case == "skew" else 0.6
-    requests = _draw(deployment, shape, skew, rng, duration_s)
+    requests = _draw_requests(deployment, shape, skew, rng, duration_s)
     return trace.Trace(
         header=trace.Header(
             name=f"{deployment.name}-{case}",
@@ -236,22 +236,22 @@
             scored_from_s=min(10.0, duration_s / 4.0),
         ),
         requests=requests,
-        events=_events(case, engines, duration_s),
+        events=_make_events(case, engines, duration_s),
     )
 
 
-def _long_and_short(deployment: Deployment) -> Shape:
+def _alternating_floods(deployment: Deployment) -> Shape:
     """A team floods with readings while the others go on as always."""
 
     def shape(at: float, kind: Kind) -> float:
-        if kind.service == deployment.reading:
+        if kind.service == deployment.prefill_heavy:
             return 1.8 if int(at / 25.0) % 2 else 0.9
         return 0.6
 
     return shape
 
 
-def _events(
+def _make_events(
     case: str, engines: tuple[trace.EngineSpec, ...], duration_s: float
 ) -> tuple[trace.Event, ...]:
     first, last = engines[0].address, engines[-1].address
@@ -276,7 +276,7 @@
     return ()
 
 
-def _draw(
+def _draw_requests(
     deployment: Deployment,
     shape: Shape,
     skew: float,
@@ -285,44 +285,44 @@
 ) -> tuple[trace.Request, ...]:
     found: list[trace.Request] = []
     for kind, rate in zip(deployment.kinds, deployment.rates, strict=True):
-        weights = _zipf(kind.shared[1], skew)
+        weights = _zipf_weights(kind.shared[1], skew)
         at = 0.0
         peak = rate * 4.0
         while (at := at + rng.expovariate(peak)) < duration_s:
             if rng.random() * 4.0 < shape(at, kind):
-                number = f"{kind.service}-{len(found)}"
-                found.append(_request(kind, weights, at, number, rng))
+                request_id = f"{kind.service}-{len(found)}"
+                found.append(_draw_request(kind, weights, at, request_id, rng))
     return tuple(sorted(found, key=lambda request: request.at_s))
 
 
-def _request(
+def _draw_request(
     kind: Kind,
     weights: list[float],
     at: float,
-    number: str,
+    request_id: str,
     rng: random.Random,
 ) -> trace.Request:
     output = rng.randint(*kind.output)
     low, high = kind.output
     expected = round(math.sqrt(output * (low + high) / 2.0))
     name, _, tokens = kind.shared
-    which = rng.choices(range(len(weights)), cum_weights=weights)[0]
+    chosen = rng.choices(range(len(weights)), cum_weights=weights)[0]
     return trace.Request(
         at_s=round(at, 4),
-        request_id=number,
+        request_id=request_id,
         service=kind.service,
         team=kind.team,
         prompt_tokens=rng.randint(*kind.prompt),
         output_tokens=output,
         expected_output_tokens=expected,
-        prefix=((f"{name}-{which}", tokens),),
+        prefix=((f"{name}-{chosen}", tokens),),
         deadline_s=kind.deadline_s,
         first_token_s=kind.first_token_s,
         between_tokens_s=kind.between_tokens_s,
     )
 
 
-def _zipf(count: int, skew: float) -> list[float]:
+def _zipf_weights(count: int, skew: float) -> list[float]:
     total, cumulative = 0.0, []
     for rank in range(1, count + 1):
         total += 1.0 / rank**skew
@@ -339,13 +339,13 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--duration", type=float, default=DURATION_S)
     options = parser.parse_args(arguments)
-    made = generate(
+    generated = generate(
         DEPLOYMENTS[options.deployment],
         options.case,
         seed=options.seed,
         duration_s=options.duration,
     )
-    trace.write_trace(made, options.path)
+    trace.write_trace(generated, options.path)
 
 
 if __name__ == "__main__":
--- a/packages/bulrushgrade_standins/tests/test_baseline.py
+++ b/packages/bulrushgrade_standins/tests/test_baseline.py
@@ -8,10 +8,10 @@
 from bulrushgrade_standins import greedyplan
 
 
-def _made(pick):
-    made = baseline.Baseline(read_pick=pick, decode_pick=pick)
-    made.set_endpoints(_endpoints("mixed", "mixed", "mixed"), 0.0)
-    return made
+def _make_baseline(pick):
+    policy = baseline.Baseline(prefill_pick=pick, decode_pick=pick)
+    policy.set_endpoints(_endpoints("mixed", "mixed", "mixed"), 0.0)
+    return policy
 
 
 def _endpoints(*roles):
@@ -21,25 +21,30 @@
     )
 
 
-def _offer(made, name):
+def _offer(policy, name):
     item = work.Work(request_id=name, service="s", deadline=9.0)
-    return made.offer(item, 0.0).endpoint
+    return policy.offer(item, 0.0).endpoint
 
 
 def test_round_robin_takes_turns():
-    made = _made(baseline.round_robin())
-    assert [_offer(made, f"r{i}") for i in range(4)] == ["e0", "e1", "e2", "e0"]
+    policy = _make_baseline(baseline.round_robin())
+    assert [_offer(policy, f"r{i}") for i in range(4)] == [
+        "e0",
+        "e1",
+        "e2",
+        "e0",
+    ]
 
 
-def test_least_outstanding_follows_what_has_ended():
-    made = _made(baseline.least_outstanding(random.Random(1)))
-    places = {_offer(made, f"r{i}"): f"r{i}" for i in range(3)}
-    assert len(places) == 3
-    made.finished(places["e1"], "complete", 1.0)
-    assert _offer(made, "r3") == "e1"
+def test_least_outstanding_counts_ended_requests():
+    policy = _make_baseline(baseline.least_outstanding(random.Random(1)))
+    requests_by_endpoint = {_offer(policy, f"r{i}"): f"r{i}" for i in range(3)}
+    assert len(requests_by_endpoint) == 3
+    policy.finished(requests_by_endpoint["e1"], "complete", 1.0)
+    assert _offer(policy, "r3") == "e1"
 
 
-def test_greedy_follows_the_mix_at_once():
+def test_greedy_plan_follows_demand_at_once():
     plan = greedyplan.GreedyPlan()
     plan.observe("h", work.Demand(model="m"), 0.0)
     demand = work.Demand(model="m", prefill_tokens=80_000, output_tokens=10)
--- a/packages/bulrushgrade_standins/tests/test_engine.py
+++ b/packages/bulrushgrade_standins/tests/test_engine.py
@@ -74,7 +74,7 @@
     assert message["content"] == "".join(expected)
 
 
-def test_resumed_after_the_last_token_gives_the_end(engine):
+def test_resume_after_last_token_sends_final_event(engine):
     fields = {"prompt": "p", "max_tokens": 2, "resume_tokens": 2}
     answer = _complete(engine.address, stream=True, **fields)
     (event,), whole = _read_events(answer)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("sent", [0, 1, 3])
-def test_death_in_mid_stream_breaks_the_answer(engine, sent):
+def test_connection_reset_mid_stream_truncates_answer(engine, sent):
     # A user would see an answer stop at any word. The engine dies after so
     # many tokens; what it sent must break off rather than look whole.
     _fault(engine.address, die_after=sent, attempts=1)
@@ -116,18 +116,18 @@
     assert after["refused"] == before["refused"] + 2
 
 
-def test_second_reading_is_cached_and_told(engine):
+def test_second_prefill_uses_cache_and_publishes_events(engine):
     prompt = "field history " * 100
     first = _complete(engine.address, prompt=prompt).json["usage"]
     second = _complete(engine.address, prompt=prompt).json["usage"]
     assert first["cached_tokens"] == 0
     assert second["cached_tokens"] == 320
 
-    def told():
+    def cache_events():
         page = processes.call("GET", engine.address, "/cache/events?from=0")
         return page.json["events"]
 
-    assert processes.wait_for(told)[0]["kind"] == "stored"
+    assert processes.wait_for(cache_events)[0]["kind"] == "stored"
 
 
 def test_prefix_hashes_are_those_that_placement_computes():
@@ -159,7 +159,7 @@
     assert runs[-1]["attempt"] == "c" and runs[-1]["ended"] == "cancelled"
 
 
-def test_kv_goes_to_another_engine(engine, fleet):
+def test_kv_cache_is_imported_by_another_engine(engine, fleet):
     other = fleet.standin("engine", "--speed", "20", "--role", "decode")
     exported = _complete(engine.address, prompt="p", kv_export=True).json
     source = {"address": engine.address, "handle": exported["kv_handle"]}
@@ -219,7 +219,7 @@
     assert orders[1]["from_s"] < orders[0]["until_s"]
 
 
-def test_crash_partway_comes_back_in_the_old_state(fleet):
+def test_crash_during_change_restores_old_state(fleet):
     engine = fleet.standin("engine", "--change-s", "0.1")
     _fault(engine.address, crash_changes=1, down_s=0.1)
     _order(engine.address, "o1", 5, "decode")
@@ -235,7 +235,7 @@
     assert _load(engine.address)["order_id"] == ""
 
 
-def test_sigterm_lets_work_in_flight_finish(fleet):
+def test_sigterm_waits_for_requests_in_flight(fleet):
     engine = fleet.standin("engine")
     # Read once here: two threads would both wait for the one line.
     assert engine.address
--- a/packages/bulrushgrade_standins/tests/test_enginemodel.py
+++ b/packages/bulrushgrade_standins/tests/test_enginemodel.py
@@ -7,7 +7,7 @@
 from bulrushgrade_standins import enginemodel
 
 
-class _Bench:
+class _EngineBench:
     """One engine and the times at which its jobs got on."""
 
     def __init__(self, role=work.Role.MIXED):
@@ -21,19 +21,20 @@
         )
 
     def job(self, name, prompt, output, *, priority=0, target=None, prefix=()):
-        def note(what):
+        def record_time(what):
             return lambda: self.times.setdefault((name, what), self.env.now)
 
         return enginemodel.Job(
             request_id=name, prompt_tokens=prompt, output_tokens=output,
-            prefix=prefix, priority=priority, decode_at=target,
-            on_read=note("read"), on_first=note("first"),
-            on_done=note("done"), on_failed=note("failed"),
+            prefix=prefix, priority=priority, decode_engine=target,
+            on_prefilled=record_time("read"),
+            on_first_token=record_time("first"),
+            on_done=record_time("done"), on_failed=record_time("failed"),
         )  # fmt: skip
 
 
-def test_one_job_takes_its_reading_and_its_steps():
-    bench = _Bench(work.Role.MIXED)
+def test_job_takes_prefill_and_decode_time():
+    bench = _EngineBench(work.Role.MIXED)
     assert bench.engine.submit(bench.job("a", 5120, 101))
     bench.env.run()
     chunk_s = 512 / enginemodel.PREFILL_TOKENS_PER_S + enginemodel.STEP_S
@@ -44,8 +45,8 @@
     assert took == pytest.approx(100 * step_s, rel=0.01)
 
 
-def test_reading_slows_the_answers_beside_it_and_urgent_goes_first():
-    alone, beside = _Bench(), _Bench()
+def test_prefill_slows_decodes_and_urgent_goes_first():
+    alone, beside = _EngineBench(), _EngineBench()
     for bench in (alone, beside):
         bench.engine.submit(bench.job("a", 100, 200))
     beside.engine.submit(beside.job("long", 16000, 10, priority=1))
@@ -56,8 +57,8 @@
     assert beside.times["chat", "first"] < beside.times["long", "first"]
 
 
-def test_prefix_is_read_once():
-    bench = _Bench(work.Role.MIXED)
+def test_prefix_is_prefilled_once():
+    bench = _EngineBench(work.Role.MIXED)
     prefix = tuple(range(60))
     bench.engine.submit(bench.job("a", 4000, 2, prefix=prefix))
     bench.env.run()
@@ -69,8 +70,8 @@
     assert bench.env.now - cold_s < 0.2 * cold_s
 
 
-def test_roles_refuse_what_is_not_theirs_and_move_the_cache():
-    bench = _Bench(work.Role.PREFILL)
+def test_roles_reject_other_work_and_transfer_cache():
+    bench = _EngineBench(work.Role.PREFILL)
     decoder = bench.make(work.Role.DECODE)
     assert not bench.engine.submit(bench.job("a", 100, 10))
     assert not decoder.submit(bench.job("b", 100, 10))
@@ -79,8 +80,8 @@
     assert bench.times["c", "first"] > bench.times["c", "read"]
 
 
-def test_change_of_role_drains_first_and_takes_its_time():
-    bench = _Bench(work.Role.MIXED)
+def test_role_change_drains_before_change_time():
+    bench = _EngineBench(work.Role.MIXED)
     bench.engine.submit(bench.job("a", 1000, 100))
     bench.engine.change_role(work.Role.DECODE)
     assert not bench.engine.submit(bench.job("b", 10, 1))
@@ -88,16 +89,16 @@
     assert ("a", "failed") not in bench.times
     assert bench.engine.role is work.Role.DECODE
     assert bench.env.now == pytest.approx(
-        bench.times["a", "done"] + enginemodel.CHANGE_S, abs=0.01
+        bench.times["a", "done"] + enginemodel.ROLE_CHANGE_S, abs=0.01
     )
 
 
-def test_lost_engine_fails_what_it_had_and_says_how_far_it_was():
-    bench = _Bench(work.Role.MIXED)
+def test_crashed_engine_fails_jobs_and_reports_progress():
+    bench = _EngineBench(work.Role.MIXED)
     job = bench.job("a", 100, 1000)
     bench.engine.submit(job)
     bench.env.run(until=2.0)
-    bench.engine.lose()
+    bench.engine.crash()
     assert bench.times["a", "failed"] == 2.0
     assert 80 < job.tokens_done < 140
     assert not bench.engine.submit(bench.job("b", 10, 1))
--- a/packages/bulrushgrade_standins/tests/test_platform.py
+++ b/packages/bulrushgrade_standins/tests/test_platform.py
@@ -62,7 +62,7 @@
     assert [r["id"] for r in pages[0]["records"]] == ["r"]
 
 
-def test_append_takes_effect_though_its_answer_is_lost(log):
+def test_append_with_lost_answer_takes_effect(log):
     # A publisher sees its connection break and can't know whether the record
     # is there. It is; the next append is answered as usual.
     _fault(log, lose_answers=1, stream="documents")
@@ -125,7 +125,7 @@
     assert {r["key"] for r in runs} == {"k"}
 
 
-def test_link_goes_silent_for_open_connections_only(fleet):
+def test_link_silences_open_connections_only(fleet):
     # A pooled connection looks alive though nothing comes through any more,
     # while a new one works: something between has forgotten the old one.
     plain = fleet.standin("plain")
--- a/packages/bulrushgrade_standins/tests/test_replay.py
+++ b/packages/bulrushgrade_standins/tests/test_replay.py
@@ -22,23 +22,28 @@
 
 
 @functools.cache
-def _ours(case):
+def _replay_scheduler(case):
     return replay.replay(_trace(case), seed=5)
 
 
-def _least(rng: random.Random) -> baseline.Baseline:
+def _make_least_outstanding(rng: random.Random) -> baseline.Baseline:
     pick = baseline.least_outstanding(rng)
-    return baseline.Baseline(read_pick=pick, decode_pick=pick)
+    return baseline.Baseline(prefill_pick=pick, decode_pick=pick)
 
 
 @functools.cache
 def _baseline(case):
-    run = replay.Replay(trace=_trace(case), make=_least, planner=None, seed=5)
+    run = replay.Replay(
+        trace=_trace(case),
+        make_policy=_make_least_outstanding,
+        planner=None,
+        seed=5,
+    )
     return outcome.summarize(run.run())
 
 
 def _on_time(case):
-    return outcome.summarize(_ours(case))["on_time"]
+    return outcome.summarize(_replay_scheduler(case))["on_time"]
 
 
 @pytest.mark.parametrize(
@@ -53,7 +58,7 @@
         ("mix", 0.85),
     ],
 )
-def test_callers_are_answered_in_time_and_above_least_requests(case, least):
+def test_more_requests_on_time_than_least_outstanding(case, least):
     assert _on_time(case) >= least
     assert _on_time(case) > _baseline(case)["on_time"]
 
@@ -64,22 +69,22 @@
     Without admission every answer is late, and the fleet works for nobody.
     """
     full, over = (
-        outcome.summarize(_ours(case))["goodput_per_s"]
+        outcome.summarize(_replay_scheduler(case))["goodput_per_s"]
         for case in ("full1x", "full4x")
     )
     assert over >= 0.95 * full
-    assert outcome.summarize(_ours("full4x"))["late"] < 200
+    assert outcome.summarize(_replay_scheduler("full4x"))["late"] < 200
 
 
 def test_saturation_leaves_no_team_without_answers():
     served = {"grade": 0, "portal": 0, "tag": 0}
-    for call in _ours("full4x").calls:
+    for call in _replay_scheduler("full4x").calls:
         served[call.request.service] += call.on_time
     assert min(served.values()) > 20
 
 
-def test_every_call_ends_once_and_nothing_stays_booked():
-    outcome = _ours("lost")
+def test_every_call_ends_once_and_leaves_no_load():
+    outcome = _replay_scheduler("lost")
     assert all(call.outcome for call in outcome.calls)
     for dump in outcome.dumps:
         assert dump["waiting"] == dump["in_progress"] == 0
@@ -92,16 +97,16 @@
     What it ran is tried again within the budget; what it does not even start
     goes elsewhere, and soon no more is sent to it.
     """
-    calls = len(_ours("lost").calls)
-    assert 0 < _ours("lost").retries <= 0.1 * calls
-    assert _ours("lost").turned_away <= 0.1 * calls
+    calls = len(_replay_scheduler("lost").calls)
+    assert 0 < _replay_scheduler("lost").retries <= 0.1 * calls
+    assert _replay_scheduler("lost").rejections <= 0.1 * calls
 
 
 def test_steady_load_changes_no_role():
-    assert _ours("steady").role_changes == 0
+    assert _replay_scheduler("steady").role_changes == 0
 
 
-def test_fleet_that_is_split_wrongly_is_put_right():
+def test_wrong_role_split_is_corrected():
     """Four of five engines read, and one answers.
 
     Callers are refused for want of an engine that answers. One change or two
@@ -110,32 +115,37 @@
     made = _trace("wrong", 100.0)
     planned = outcome.summarize(replay.replay(made, seed=5))
     fixed = replay.Replay(
-        trace=made, make=replay.ours, planner=None, seed=5
+        trace=made, make_policy=replay.new_scheduler, planner=None, seed=5
     ).run()
     gained = planned["on_time"] - outcome.summarize(fixed)["on_time"]
     assert 1 <= planned["role_changes"] <= 2
     assert gained > 0.05
 
 
-def test_same_seed_replays_alike():
+def test_same_seed_gives_same_outcome():
     again = replay.replay(_trace("flips"), seed=5)
-    assert outcome.summarize(again) == outcome.summarize(_ours("flips"))
+    assert outcome.summarize(again) == outcome.summarize(
+        _replay_scheduler("flips")
+    )
 
 
-def test_role_change_cuts_no_request():
+def test_role_change_interrupts_no_request():
     """An engine changes its role in the middle of its answers.
 
     A caller would see an answer break off if the change did not drain first.
     """
     run = replay.Replay(
-        trace=_trace("steady"), make=replay.ours, planner=_Once(), seed=5
+        trace=_trace("steady"),
+        make_policy=replay.new_scheduler,
+        planner=_SingleChange(),
+        seed=5,
     ).run()
     assert run.role_changes == 1
     assert not [c for c in run.calls if c.outcome == "failed"]
     assert run.retries == 0
 
 
-class _Once:
+class _SingleChange:
     """Changes one engine's role, once."""
 
     def __init__(self):
--- a/packages/bulrushgrade_standins/tests/test_trace.py
+++ b/packages/bulrushgrade_standins/tests/test_trace.py
@@ -8,7 +8,7 @@
 from bulrushgrade_standins import tracegen
 
 
-def test_trace_survives_writing_and_reading(tmp_path):
+def test_trace_is_unchanged_by_write_and_read(tmp_path):
     made = tracegen.generate(tracegen.ORTAK, "lost", seed=3, duration_s=20.0)
     path = tmp_path / "lost.jsonl"
     trace.write_trace(made, path)
@@ -39,21 +39,21 @@
 @pytest.mark.parametrize(
     "line", ["nonsense", '{"kind": "request"}', '{"kind": "x"}', "[]"]
 )
-def test_bad_line_is_named(tmp_path, line):
+def test_error_names_bad_line(tmp_path, line):
     path = tmp_path / "bad.jsonl"
     path.write_text(line + "\n")
     with pytest.raises(ValueError, match="line 1"):
         trace.read_trace(path)
 
 
-def test_equal_prefixes_hash_alike_and_later_parts_differ():
-    one = trace.blocks_of((("doc", 128), ("turn", 64)))
-    two = trace.blocks_of((("doc", 128), ("other", 64)))
+def test_equal_prefixes_have_equal_hashes():
+    one = trace.hash_blocks((("doc", 128), ("turn", 64)))
+    two = trace.hash_blocks((("doc", 128), ("other", 64)))
     assert one[:2] == two[:2]
     assert one[2] != two[2]
 
 
-def test_examples_are_what_the_generator_makes(tmp_path):
+def test_example_traces_match_generator_output(tmp_path):
     folder = pathlib.Path(__file__).parents[3] / "examples" / "traces"
     for name, duration in (("ortak-flips", "20"), ("ogeechee-lost", "12")):
         path = tmp_path / name
