--- a/packages/bulrushgrade_standins/bulrushgrade_standins/__main__.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/__main__.py
@@ -1,7 +1,7 @@
 """Runs one stand-in as a process.
 
-It prints one line of JSON with its address once it listens, and ends with
-exit code 0 on SIGTERM, after the requests in flight where they end soon.
+It prints one line of JSON with its address once it listens. On SIGTERM it
+waits a limited time for the requests in flight and exits with code 0.
 """
 
 from collections.abc import Callable
@@ -23,10 +23,10 @@
 
 _LISTEN = typer.Option("127.0.0.1:0", help="IP:PORT; port 0 takes a free one.")
 _ADAPTERS = typer.Option([], help="An adapter; may be given repeatedly.")
-# How long a stopping endpoint waits for its requests in flight.
+# How long a stopping endpoint waits for requests in flight.
 _STOP_LIMIT_S = 30.0
-# The end of the last answer may still be in its transport when the work is
-# done, and stopping the reactor would drop it.
+# When the work is done, the end of the last answer may still be in the buffer
+# of its transport, and stopping the reactor would drop it.
 _FLUSH_S = 0.2
 
 app = typer.Typer(add_completion=False, no_args_is_help=True)
@@ -39,7 +39,7 @@
     drain: Callable[[], defer.Deferred] | None = None,
     **more: str,
 ) -> None:
-    """Announces a stand-in that listens, and runs until SIGTERM."""
+    """Prints the address of a listening stand-in and runs until SIGTERM."""
     line = json.dumps({"name": name, "address": address, **more})
     reactor.callWhenRunning(lambda: print(line, flush=True))
     if drain is not None:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/attempt.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a completion, and the faults of its stream."""
+"""One attempt at a completion, and the faults injected into its stream."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,19 +17,21 @@
 
 @attrs.define(kw_only=True)
 class StreamFaults:
-    """What goes wrong with the answers of an engine.
+    """Faults in the answers of an engine.
 
-    Token counts are of the tokens sent in the attempt, so that a resumed
-    answer can be cut again.
+    Token counts refer to the tokens sent in the attempt, so that a resumed
+    answer can be interrupted again.
 
     Attributes:
         die_after: Tokens after which the connection is reset.
-        silent_after: Tokens after which nothing more comes.
+        silent_after: Tokens after which nothing more is sent.
         truncate_after: Tokens after which the answer ends, without its end
-            marker but as a whole HTTP message.
-        duplicate_at: The token of the attempt whose event is sent twice.
-        wrong_attempt: The answers of other attempts come, with their ids.
-        attempts: How many attempts these apply to, or None for all.
+            marker but as a complete HTTP message.
+        duplicate_at: Index in the attempt of the token whose event is sent
+            twice.
+        wrong_attempt: Whether to send the answer of another attempt, with its
+            id.
+        attempts: How many attempts the faults apply to, or None for all.
     """
 
     die_after: int | None = None
@@ -41,7 +43,7 @@
 
 
 def consume_faults(faults: StreamFaults) -> StreamFaults:
-    """Returns the faults of one attempt and counts it."""
+    """Returns the faults for the next attempt and counts the attempt."""
     if faults.attempts is None:
         return faults
     if faults.attempts <= 0:
@@ -51,7 +53,7 @@
 
 
 class Attempt:
-    """The answer in the making and the connection it goes out on."""
+    """An answer in progress and the connection that it is sent on."""
 
     def __init__(
         self,
@@ -71,7 +73,7 @@
         self._seed = completion.make_seed(sequence.prompt)
         self._sent_id = run.attempt
         if faults.wrong_attempt:
-            # A crossed answer is another caller's in id and in content.
+            # Like an answer for another caller, it differs in id and content.
             self._sent_id = f"{run.attempt}-other"
             self._seed = completion.make_seed(self._sent_id)
             request.setHeader("X-Attempt-Id", self._sent_id)
@@ -80,23 +82,23 @@
 
     @property
     def wanted(self) -> completion.Completion:
-        """What was asked for."""
+        """The completion request."""
         return self._wanted
 
     @property
     def sequence(self) -> batch.Sequence:
-        """Its part of the batch."""
+        """The sequence of the attempt in the batch."""
         return self._sequence
 
     @property
     def run(self) -> ledger.Run:
-        """Its entry in the ledger."""
+        """The entry of the attempt in the ledger."""
         return self._run
 
     def watch(
         self, *, on_disconnect: Callable[["Attempt", str], None]
     ) -> defer.Deferred:
-        """Returns what fires with the last bytes of the answer.
+        """Returns a Deferred that fires with the last bytes of the answer.
 
         Args:
             on_disconnect: Called with the attempt and ``cut`` when the caller
@@ -108,14 +110,14 @@
         return self._done
 
     def write(self, start: int, stop: int) -> str:
-        """Sends the tokens of some steps, as far as the faults let it.
+        """Sends the tokens of some steps, as far as the faults allow.
 
         Args:
-            start: The number of the first token.
-            stop: The number after the last token.
+            start: Index of the first token.
+            stop: Index after the last token.
 
         Returns:
-            How the attempt ended, or ``""`` while it goes on.
+            How the attempt ended, or ``""`` while it is running.
         """
         if self._silent:
             return ""
@@ -140,13 +142,13 @@
             self._done.callback(rest)
 
     def finish_export(self, handle: str) -> None:
-        """Answers the handle of the KV cache that was asked for."""
+        """Ends the answer with the handle of the exported KV cache."""
         usage = self._make_usage(0)
         value = {"kv_handle": handle, "usage": usage}
         self.finish(server.answer(self._request, value))
 
     def _find_fault(self) -> tuple[int, str] | None:
-        """Returns the number of the first token not sent, and why not."""
+        """Returns the index of the first token not sent and the fault kind."""
         faults = self._faults
         points = [
             (self._first + after, kind)
@@ -164,8 +166,8 @@
             self._silent = True
             return ""
         if kind == "die":
-            # A reset discards what the transport still holds, so what was
-            # sent is given time to leave.
+            # A reset discards the transport's buffer, so the data written so
+            # far gets time to be sent.
             reactor.callLater(_FLUSH_S, server.abort, self._request)
         elif self._wanted.stream:
             self.finish(b"")
@@ -194,10 +196,10 @@
             self._request.write(b"".join(parts))
 
     def _send_final_event(self) -> None:
-        """Sends the last event where the caller has had all tokens before.
+        """Sends the final event if the caller already has all tokens.
 
-        Its last event was lost with an earlier attempt, and the reason for
-        finishing and the usage with it.
+        The final event of an earlier attempt was lost, and with it the finish
+        reason and the usage.
         """
         count = self._sequence.max_tokens
         if self._first == count:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/baseline.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/baseline.py
@@ -1,7 +1,7 @@
-"""Plain policies that the decisions under load are measured against.
+"""Simple placement policies that the scheduler is compared with.
 
-They place at once and refuse nothing; callers leave at their deadlines. They
-offer what the replay asks of a scheduler.
+They place every request at once and refuse none for load; callers disconnect
+at their deadlines. They have the interface of a scheduler for the replay.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 MAX_ATTEMPTS = 3
 
 Pick = Callable[[list[work.Endpoint], dict[str, int]], work.Endpoint]
-"""Chooses among endpoints, given this host's outstanding requests."""
+"""Chooses an endpoint, given the outstanding requests of this host."""
 
 
 def round_robin() -> Pick:
-    """Returns a choice that takes the endpoints in turn."""
+    """Returns a function that picks the endpoints in turn."""
     turns = itertools.count()
 
     def pick(endpoints, _outstanding):
@@ -27,7 +27,7 @@
 
 
 def least_outstanding(rng: random.Random) -> Pick:
-    """Returns a choice of the endpoint with the fewest own requests."""
+    """Returns a function that picks the endpoint with fewest own requests."""
 
     def pick(endpoints, outstanding):
         return min(
@@ -39,7 +39,7 @@
 
 
 class Baseline:
-    """A host that places each request at once."""
+    """A policy that places each request at once."""
 
     def __init__(self, *, prefill_pick: Pick, decode_pick: Pick):
         self._prefill_pick = prefill_pick
@@ -51,28 +51,28 @@
         self.retried = 0
 
     def set_policies(self, policies: tuple[work.ServicePolicy, ...]) -> None:
-        """Has no use for policies."""
+        """Does nothing: service policies are ignored."""
 
     def set_endpoints(
         self, endpoints: tuple[work.Endpoint, ...], now: float
     ) -> None:
-        """Replaces the view of the endpoints."""
+        """Replaces the known endpoints."""
         self._endpoints = endpoints
 
     def report(self, report: work.LoadReport, now: float) -> None:
-        """Has no use for reports."""
+        """Does nothing: load reports are ignored."""
 
     def peer_load(
         self, peer: str, loads: tuple[work.PeerLoad, ...], now: float
     ) -> None:
-        """Has no use for peers."""
+        """Does nothing: loads of peers are ignored."""
 
     def own_loads(self) -> tuple[work.PeerLoad, ...]:
-        """Publishes nothing."""
+        """Returns no loads, since none are published."""
         return ()
 
     def demand(self) -> tuple[work.Demand, ...]:
-        """Returns what was asked of this host, for the role plan."""
+        """Returns the cumulative demand at this host, for the role plan."""
         prefill_tokens, output_tokens = self._demand_tokens
         return (
             work.Demand(
@@ -97,7 +97,7 @@
         *,
         started: bool = True,
     ) -> work.Decision:
-        """Places a request again, a few times."""
+        """Places a request again, up to `MAX_ATTEMPTS` attempts."""
         item, _, attempt = self._placed[request_id]
         self._forget(request_id)
         if attempt + 1 >= MAX_ATTEMPTS:
@@ -106,25 +106,25 @@
         return self._place(item, attempt + 1, failed_endpoint)
 
     def poll(self, now: float) -> tuple[work.Placed | work.Refused, ...]:
-        """Has nothing waiting."""
+        """Returns nothing: no request waits."""
         return ()
 
     def next_poll(self, now: float) -> float | None:
-        """Has nothing waiting."""
+        """Returns nothing: no request waits."""
         return None
 
     def cancel(self, request_id: str, now: float) -> None:
-        """Forgets a request whose caller has gone."""
+        """Removes a request whose caller disconnected."""
         self._forget(request_id)
 
     def prefill_done(self, request_id: str, now: float) -> None:
-        """Has no use for it."""
+        """Does nothing: progress is ignored."""
 
     def first_token(self, request_id: str, now: float) -> None:
-        """Has no use for it."""
+        """Does nothing: progress is ignored."""
 
     def tokens(self, request_id: str, count: int, now: float) -> None:
-        """Has no use for it."""
+        """Does nothing: progress is ignored."""
 
     def finished(
         self,
@@ -133,7 +133,7 @@
         now: float,
         cached_tokens: int | None = None,
     ) -> None:
-        """Notes the end of a request."""
+        """Removes a finished request."""
         self._forget(request_id)
 
     def _place(
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/batch.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/batch.py
@@ -1,9 +1,9 @@
-"""Continuous batching of a model engine, in virtual time and counts only.
+"""Simulates the continuous batching of a model engine in virtual time.
 
 A batch runs in steps. In one step each running sequence whose prompt has been
-read yields one token, and prompts take a part of the step that the engine's
-role limits. The time of a step grows with the sequences and prompt tokens in
-it, so that long readings and short chats get in each other's way as they do
+prefilled yields one token, and prompts are prefilled up to a limit that
+depends on the engine's role. A step takes longer with more sequences and
+prompt tokens in it, so long prefills and short chats slow each other down as
 on a real engine.
 """
 
@@ -14,29 +14,30 @@
 import attrs
 import xxhash
 
-# The bytes of a prompt's UTF-8 that count as one token.
+# How many bytes of a prompt's UTF-8 encoding count as one token.
 BYTES_PER_TOKEN = 4
-# Prefixes are cached and told of in blocks of so many tokens.
+# Prefixes are cached and published in blocks of this many tokens.
 BLOCK_TOKENS = 64
 _MAX_CACHE_EVENTS = 2000
-# Every so many-th cache event is lost, which leaves a gap in the numbers.
+# One in this many cache events is lost, which leaves a gap in the numbering.
 _LOST_EVENT_PERIOD = 17
 
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """How fast and how large an engine is.
+    """Speed and capacity of an engine.
 
     Attributes:
-        slots: Sequences that run at once.
-        queue: Sequences that wait at most; more are refused.
+        slots: Maximum number of running sequences.
+        queue: Maximum number of waiting sequences; more are rejected.
         kv_capacity_tokens: Tokens of KV cache for running sequences.
         cache_tokens: Tokens of the prefix cache.
-        prefill_tokens_per_s: Prompt tokens read in a second of prefill.
-        step_s: Seconds of a step with nothing in it.
+        prefill_tokens_per_s: Prompt tokens per second of prefill.
+        step_s: Duration of an empty step.
         step_per_sequence_s: Seconds that each decoding sequence adds.
-        prefill_step_tokens: Prompt tokens in one step at most, by role. A
-            decode engine keeps its steps short, a prefill engine reads fast.
+        prefill_step_tokens: Maximum number of prompt tokens in one step, by
+            role. A decode engine keeps its steps short; a prefill engine
+            prefills fast.
     """
 
     slots: int = 16
@@ -56,15 +57,15 @@
     """One request in the batch.
 
     Attributes:
-        prompt: The prompt's text.
-        priority: Smaller is sooner.
+        prompt: The text of the prompt.
+        priority: A smaller value runs sooner.
         max_tokens: Tokens of the whole answer.
-        index: Number of the next token, counted from 0.
-        prefill_tokens: Tokens still to be read before the first is yielded.
-        cached_tokens: Prompt tokens that the prefix cache skipped.
-        prefill_only: Ends once the prompt has been read.
-        dropped: Taken out; yields no more.
-        prompt_tokens: The prompt's length.
+        index: Index of the next token, counted from 0.
+        prefill_tokens: Tokens left to prefill before the first is yielded.
+        cached_tokens: Prompt tokens found in the prefix cache.
+        prefill_only: Whether the sequence ends after its prefill.
+        dropped: Whether the sequence was removed from the batch.
+        prompt_tokens: Length of the prompt.
     """
 
     prompt: str
@@ -83,13 +84,13 @@
 
     @property
     def size_tokens(self) -> int:
-        """KV cache that the sequence takes up at its end."""
+        """KV cache tokens that the sequence occupies at its end."""
         answer = 0 if self.prefill_only else self.max_tokens
         return self.prompt_tokens + answer
 
     @property
     def done(self) -> bool:
-        """Whether it has nothing left to yield."""
+        """Whether the sequence has finished."""
         if self.prefill_only:
             return self.prefill_tokens == 0
         return self.index >= self.max_tokens
@@ -101,10 +102,10 @@
 
 
 def hash_prefixes(prompt: str) -> list[str]:
-    """Returns the hash of each whole block's prefix of a prompt.
+    """Returns the hash of the prompt up to the end of each whole block.
 
-    The k-th is the xxh3_64 of the first 256 * (k + 1) bytes of its UTF-8, as
-    docs/WIRE.md gives it.
+    Hash k is the xxh3_64 of the first 256 * (k + 1) bytes of the prompt's
+    UTF-8 encoding, as docs/WIRE.md specifies.
     """
     size = BLOCK_TOKENS * BYTES_PER_TOKEN
     raw = prompt.encode()
@@ -117,7 +118,7 @@
 
 
 class PrefixCache:
-    """The prefixes an engine holds, least recently used first."""
+    """The cached prefixes of an engine, with LRU eviction."""
 
     def __init__(self, *, capacity_tokens: int):
         self._capacity_blocks = capacity_tokens // BLOCK_TOKENS
@@ -130,7 +131,7 @@
         )
 
     def match(self, hashes: list[str]) -> int:
-        """Returns how many tokens of a prompt are held."""
+        """Returns how many leading tokens of a prompt are cached."""
         blocks = 0
         for prefix in hashes:
             if prefix not in self._blocks:
@@ -140,7 +141,7 @@
         return blocks * BLOCK_TOKENS
 
     def store(self, hashes: list[str], now: float) -> None:
-        """Holds the prefixes of a prompt; evicts others to make room."""
+        """Caches the prefixes of a prompt and evicts others if it is full."""
         for prefix in hashes:
             if prefix not in self._blocks:
                 self._record_event(now, "stored", prefix)
@@ -151,13 +152,13 @@
             self._record_event(now, "evicted", prefix)
 
     def clear(self, now: float) -> None:
-        """Drops all, as a change of model does."""
+        """Evicts all prefixes, as a change of model does."""
         for prefix in self._blocks:
             self._record_event(now, "evicted", prefix)
         self._blocks.clear()
 
     def read_events(self, start: int, until: float) -> list[dict]:
-        """Returns the events from a number on, as old as `until` or older."""
+        """Returns the events from a number on that are not after `until`."""
         return [
             event
             for at, event in self._events
@@ -172,7 +173,7 @@
 
 
 class Batch:
-    """The sequences that run and those that wait."""
+    """The running and the waiting sequences of an engine."""
 
     def __init__(self, *, limits: Limits, cache: PrefixCache):
         self._limits = limits
@@ -185,27 +186,27 @@
 
     @property
     def running(self) -> int:
-        """How many sequences run."""
+        """Number of running sequences."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """How many sequences wait."""
+        """Number of waiting sequences."""
         return len(self._queued)
 
     @property
     def kv_used_tokens(self) -> int:
-        """KV cache taken up by the running sequences."""
+        """KV cache tokens reserved for the running sequences."""
         return self._kv_used
 
     @property
     def backlog_tokens(self) -> int:
-        """Prompt tokens still to be read."""
+        """Tokens left to prefill, of running and waiting sequences."""
         waiting = sum(s.prefill_tokens for _, _, s in self._queued)
         return waiting + sum(s.prefill_tokens for s in self._running)
 
     def add(self, sequence: Sequence) -> bool:
-        """Queues a sequence; False where it finds no room."""
+        """Queues a sequence; returns False if there is no room for it."""
         too_large = sequence.size_tokens > self._limits.kv_capacity_tokens
         if too_large or len(self._queued) >= self._limits.queue:
             return False
@@ -214,23 +215,24 @@
         return True
 
     def remove(self, sequence: Sequence) -> None:
-        """Takes a sequence out, whether it waits or runs."""
+        """Removes a sequence, whether it waits or runs."""
         sequence.dropped = True
         self._queued = [e for e in self._queued if e[2] is not sequence]
         if sequence in self._running:
             self._release(sequence)
 
     def run(self, role: str, budget_s: float) -> tuple[float, list]:
-        """Runs steps until they have taken a budget of time.
+        """Runs steps until they have used up a time budget.
 
         Args:
             role: ``prefill``, ``decode`` or ``mixed``.
-            budget_s: Seconds to fill; at least one step runs where there is
-                work.
+            budget_s: Seconds to use up; if there is work, at least one step
+                runs.
 
         Returns:
-            The seconds taken and, for each sequence that got on, itself, the
-            number of its first new token and the number after its last.
+            The seconds used, and for each sequence that made progress the
+            sequence, the index of its first new token and the index after
+            its last.
         """
         taken_s = 0.0
         first: dict[Sequence, int] = {}
@@ -253,10 +255,10 @@
             self._skip_cached(sequence)
 
     def _skip_cached(self, sequence: Sequence) -> None:
-        """Takes the cached prefix off what a sequence has to read."""
+        """Excludes the cached prefix from the prefill of a sequence."""
         if sequence.prefill_tokens:
             held = self._cache.match(hash_prefixes(sequence.prompt))
-            # At least one token has to be read to yield the next.
+            # At least one token has to be prefilled to yield the next.
             skipped = min(held, sequence.prefill_tokens - 1)
             sequence.cached_tokens = skipped
             sequence.prefill_tokens -= skipped
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/bound.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/bound.py
@@ -1,4 +1,4 @@
-"""What no policy could beat on a trace, and the best fixed split of roles."""
+"""An upper bound for any policy on a trace, and the best fixed role splits."""
 
 from collections.abc import Iterator
 
@@ -11,7 +11,7 @@
 
 
 def cost_s(request: traces.Request, cached_tokens: int) -> float:
-    """Returns the engine seconds of a request, at the best batch."""
+    """Returns the engine seconds of a request at the best batch size."""
     step = enginemodel.STEP_S + enginemodel.STEP_S_PER_REQUEST * BEST_BATCH
     prefill_load = request.prompt_tokens - cached_tokens
     return (
@@ -21,12 +21,12 @@
 
 
 def capacity_bound(trace: traces.Trace) -> int:
-    """Returns how many scored requests could at most be answered in time.
+    """Returns an upper bound on the scored requests answered in time.
 
-    Every engine is taken to serve from the first scored second until the
-    last deadline, at its best batch and with every prefix cached that has
-    been seen before, and the cheapest requests to come first. It is loose:
-    waiting, memory and the order of arrival are left out.
+    It assumes that every engine serves from the first scored second until the
+    last deadline, at its best batch size and with all prefixes cached that
+    have been seen before, and that the cheapest requests come first. The bound
+    is loose: it ignores waiting, memory and the order of arrival.
     """
     seen: set[tuple[str, int]] = set()
     costs = []
@@ -51,11 +51,11 @@
 
 
 def best_splits(trace: traces.Trace, count: int) -> list[tuple[work.Role, ...]]:
-    """Returns the fixed splits that lose least of a trace's known demand.
+    """Returns the fixed role splits that serve the demand of a trace best.
 
     Args:
-        trace: The trace, known in advance.
-        count: How many splits to return, the best first.
+        trace: The trace, which is known in advance.
+        count: How many splits to return, best first.
     """
     demands = list(_windows(trace))
     engines = len(trace.header.engines)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/change.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/change.py
@@ -1,9 +1,9 @@
-"""Orders that an engine takes, and the change of state that each brings.
+"""Orders that an engine accepts, and the configuration change of each.
 
-An order makes the engine refuse new work, wait until the work in flight is
-done, be away for its change time, and come back in the wanted state. A crash
-in between loses the order: the engine is down for a while and comes back in
-its old state.
+An order makes the engine reject new work, wait until the work in flight is
+done, be unavailable for its change time, and serve again in the wanted state.
+A crash during the change loses the order: the engine is down for a while and
+comes back in its old state.
 """
 
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class Wanted:
-    """The state that an order asks for, or that an engine is in."""
+    """The configuration that an order asks for, or that an engine has."""
 
     role: str = "mixed"
     model: str = "model"
@@ -35,7 +35,7 @@
 
 @attrs.frozen(kw_only=True)
 class Order:
-    """An order as it comes over the wire."""
+    """An order, with its fields named as on the wire."""
 
     order_id: str
     term: int
@@ -44,15 +44,16 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """How an engine takes orders.
+    """Settings for how an engine handles orders.
 
     Attributes:
-        fencing: Refuses an order with a lower term than one it has seen.
-        overlap: Takes another order while a change runs, as an engine that
-            checks nothing does; else it answers that it is busy.
-        change_s: Seconds away for a change.
-        weights: Where to load another model or version from, as ``IP:PORT``;
-            empty loads nothing.
+        fencing: Whether to reject an order with a lower term than one seen
+            before.
+        overlap: Whether to accept another order while a change runs, like an
+            engine without checks; otherwise the engine answers ``busy``.
+        change_s: Duration of a change, in seconds.
+        weights: Address of the weight store to load another model or version
+            from, as ``IP:PORT``; if empty, nothing is loaded.
     """
 
     fencing: bool = True
@@ -62,7 +63,7 @@
 
 
 class OrderExecutor:
-    """The engine's state and the order it holds."""
+    """The state of an engine and the order that it carries out."""
 
     def __init__(
         self,
@@ -74,15 +75,15 @@
         next_crash_s: Callable[[], float | None],
         on_changed: Callable[[], None],
     ):
-        """Makes the state of an engine that serves.
+        """Creates the state of an engine that serves.
 
         Args:
-            start: The state it starts in.
-            settings: How it takes orders.
-            ledger_entries: Where each order is entered.
-            is_idle: Says whether no work is in flight.
-            next_crash_s: Asked once a change: seconds of being down after a
-                crash partway, or None for a change that comes to its end.
+            start: The initial configuration.
+            settings: How the engine handles orders.
+            ledger_entries: The ledger that records each order.
+            is_idle: Returns whether no work is in flight.
+            next_crash_s: Called once per change; returns the downtime after a
+                crash partway, or None for a change that completes.
             on_changed: Called when a change has taken effect.
         """
         self._settings = settings
@@ -118,19 +119,19 @@
         return self._last_order_term
 
     def drain(self) -> None:
-        """Refuses new work until an order ends it."""
+        """Rejects new work until an order has taken effect."""
         if self._state == "serving":
             self._state = "draining"
 
     def submit(self, order: Order) -> str:
-        """Takes an order; returns ``""``, or why it is refused."""
+        """Accepts an order; returns ``""``, or the reason for rejecting it."""
         if self._settings.fencing and order.term < self._highest_term:
             return "stale_term"
         self._highest_term = max(order.term, self._highest_term)
         if self._order is not None:
             if order.order_id == self._order.order_id:
-                # Sent again, by a later holder perhaps: the same change goes
-                # on and counts as ordered under the later term.
+                # The order was sent again, perhaps by a later lease holder: the
+                # same change continues, now under the later term.
                 self._order = order
                 return ""
             if not self._settings.overlap:
@@ -142,7 +143,7 @@
         return ""
 
     def check_idle(self) -> None:
-        """Goes on with a change once the work in flight is done."""
+        """Starts the ordered change once no work is in flight."""
         ready = self._order is not None and self._state == "draining"
         if ready and self._is_idle():
             self._state = "changing"
@@ -213,7 +214,7 @@
 
 
 def parse_order(raw: bytes) -> Order | None:
-    """Returns the order in a body, or None."""
+    """Returns the order in a request body, or None if it is invalid."""
     try:
         order = msgspec.json.decode(raw, type=Order)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -222,7 +223,7 @@
 
 
 def describe_state(changes: OrderExecutor) -> dict[str, Any]:
-    """Returns the part of a load report that is always fresh."""
+    """Returns the fields of a load report that are always up to date."""
     return {
         **attrs.asdict(changes.current),
         "state": changes.state,
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/completion.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/completion.py
@@ -1,4 +1,4 @@
-"""Completion requests and answers of the model engine's stand-in."""
+"""Completion requests and answers of the stand-in model engine."""
 
 from typing import Any
 
@@ -14,10 +14,10 @@
 
 @attrs.frozen(kw_only=True)
 class InvalidCompletion:
-    """A request that no engine can run.
+    """An invalid completion request.
 
     Attributes:
-        reason: What is wrong with it, for a person.
+        reason: A human-readable description of the error.
     """
 
     reason: str
@@ -33,11 +33,11 @@
 
 @attrs.frozen(kw_only=True)
 class KvSource:
-    """Where the KV cache of a prompt can be fetched.
+    """The engine and handle to fetch the KV cache of a prompt with.
 
     Attributes:
-        address: The engine that read the prompt, as ``IP:PORT``.
-        handle: The handle that it answered.
+        address: The engine that prefilled the prompt, as ``IP:PORT``.
+        handle: The handle that the engine returned.
     """
 
     address: str
@@ -46,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class Completion:
-    """A request's fields, named as on the wire."""
+    """The fields of a completion request, named as on the wire."""
 
     model: str = ""
     prompt: str | None = None
@@ -60,19 +60,19 @@
 
     @property
     def is_chat(self) -> bool:
-        """Whether it came with messages."""
+        """Whether this is a chat request, which has messages."""
         return self.prompt is None
 
     @property
     def text(self) -> str:
-        """What the model reads: the prompt, or the messages line by line."""
+        """The input of the model: the prompt, or one line per message."""
         if self.prompt is not None:
             return self.prompt
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
 
 def parse_completion(raw: bytes) -> Result[Completion, InvalidCompletion]:
-    """Returns the request in a body."""
+    """Parses the body of a completion request."""
     try:
         parsed = msgspec.json.decode(raw, type=Completion)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -87,25 +87,25 @@
 def expected_tokens(prompt: str, count: int, *, start: int = 0) -> list[str]:
     """Returns the tokens of the answer to a prompt.
 
-    They depend on the prompt and the token number alone, so that a test can
-    tell whether an answer pieced together from several engines is the one
-    that a single engine would have given.
+    They depend only on the prompt and the token index, so that a test can
+    check that an answer assembled from several engines is the one that a
+    single engine would have given.
 
     Args:
-        prompt: The text that the model reads.
-        count: The number after the last token.
-        start: The number of the first token.
+        prompt: The input of the model.
+        count: Index after the last token.
+        start: Index of the first token.
     """
     return make_tokens(make_seed(prompt), start, count)
 
 
 def make_seed(prompt: str) -> int:
-    """Returns the number that stands for a prompt in `make_tokens`."""
+    """Returns the seed of a prompt for `make_tokens`."""
     return xxhash.xxh32_intdigest(prompt.encode())
 
 
 def make_tokens(seed: int, start: int, stop: int) -> list[str]:
-    """Returns the tokens of an answer from one number up to another."""
+    """Returns the tokens of an answer from one index up to another."""
     return [
         f" {xxhash.xxh32_intdigest(index.to_bytes(4, 'big'), seed):08x}"
         for index in range(start, stop)
@@ -127,10 +127,10 @@
 def make_event(
     *, attempt: str, chat: bool, index: int, token: str, usage: dict | None
 ) -> bytes:
-    """Returns one server-sent event; with `usage` it is the last one.
+    """Returns one server-sent event; the last one has `usage`.
 
-    Written out as text since it is made once a token: an encoder that walks
-    nested dicts took several times as long.
+    The JSON is formatted as text because this runs once per token, and an
+    encoder that walks nested dicts took several times as long.
     """
     if chat:
         content = f'"delta":{{"content":"{token}"}}'
@@ -151,7 +151,7 @@
 def make_answer(
     *, attempt: str, chat: bool, text: str, usage: dict
 ) -> dict[str, Any]:
-    """Returns a whole answer."""
+    """Returns the body of an answer that is not streamed."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
     if chat:
         choice["message"] = {"role": "assistant", "content": text}
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/decisioncost.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/decisioncost.py
@@ -1,8 +1,7 @@
-"""What one decision costs, against the number of endpoints and hosts.
+"""Measures the cost of one decision by number of endpoints and peers.
 
-Run with ``python -m bulrushgrade_standins.decisioncost``; the figures are
-processor time of this process, so that other load on the machine counts
-little.
+Run with ``python -m bulrushgrade_standins.decisioncost``. It measures the CPU
+time of this process, so that other load on the machine matters little.
 """
 
 import random
@@ -21,11 +20,11 @@
 
 
 def measure(endpoints: int, peers: int) -> dict[str, float]:
-    """Returns microseconds of one decision of each kind.
+    """Returns the cost of one operation of each kind, in microseconds.
 
     Args:
-        endpoints: Engines in the view.
-        peers: Other hosts that have published their loads.
+        endpoints: Number of known engines.
+        peers: Number of other hosts that have published their loads.
     """
     core = _make(endpoints, peers)
     return {
@@ -37,7 +36,7 @@
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints the measurements as a Markdown table."""
     print("| endpoints | peers | " + " | ".join(measure(1, 0)) + " |")
     print("|---|---|" + "---|" * len(measure(1, 0)))
     for endpoints in ENDPOINTS:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/engine.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/engine.py
@@ -1,7 +1,8 @@
 """A stand-in for a model engine.
 
 It serves completions from a batch that runs in virtual time, publishes load
-and cache events late, takes orders, and brings faults about at a chosen token.
+reports and cache events with a delay, carries out orders, and injects faults
+at a chosen token.
 """
 
 import collections
@@ -23,10 +24,10 @@
 from bulrushgrade_standins import ledger
 from bulrushgrade_standins import server
 
-# Steps shorter than this run several at a time, with one write a stream for
-# all of them: what bounds the tokens a second is the number of writes.
+# Steps shorter than this run several at a time, with one write per stream for
+# all of them, because the number of writes limits the tokens per second.
 _TICK_S = 0.005
-# How far the batch may run ahead of the clock to make up for a busy process.
+# How far behind the clock a batch may fall in a busy process and catch up.
 _MAX_CATCH_UP_S = 0.05
 _KV_TOKENS_PER_S = 200_000.0
 _MAX_LOAD_SAMPLES = 1000
@@ -34,14 +35,14 @@
 
 @attrs.define(kw_only=True)
 class EngineFaults(attempts.StreamFaults):
-    """What is wrong with the engine, besides its streams.
+    """Faults of the engine, in addition to those of its streams.
 
     Attributes:
-        slow_factor: How many times longer each step takes.
-        refuse: New work is refused as not started.
-        silent: Nothing is answered but the stand-in's own routes.
-        crash_changes: How many changes to come crash partway.
-        down_s: Seconds of being down after such a crash.
+        slow_factor: Factor on the duration of each step.
+        refuse: Rejects new work as not started.
+        silent: Answers nothing, except on the stand-in's own routes.
+        crash_changes: How many of the next changes crash partway.
+        down_s: Downtime after such a crash, in seconds.
     """
 
     slow_factor: float = 1.0
@@ -53,15 +54,15 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSettings:
-    """What an engine is like.
+    """Settings of a stand-in engine.
 
     Attributes:
-        start: The role, model, version and adapters it starts with.
-        limits: How fast and how large it is.
-        changes: How it takes orders.
-        speed: Virtual seconds of the batch in a second.
-        load_lag_s: Age of the figures in a load report.
-        cache_lag_s: Age at which cache events are told.
+        start: The initial role, model, version and adapters.
+        limits: Speed and capacity of the engine.
+        changes: How the engine handles orders.
+        speed: Virtual seconds of the batch per real second.
+        load_lag_s: Age of the values in a load report.
+        cache_lag_s: Age at which cache events are published.
     """
 
     start: change.Wanted = change.Wanted()
@@ -73,7 +74,7 @@
 
 
 class Engine:
-    """The engine's state and the app that serves it."""
+    """A model engine and the HTTP app that serves it."""
 
     def __init__(self, *, settings: EngineSettings):
         self._settings = settings
@@ -130,15 +131,15 @@
 
     @property
     def ledger(self) -> ledger.Ledger:
-        """What has run and which orders were held."""
+        """The attempts that ran and the orders that were accepted."""
         return self._ledger
 
     def set_faults(self, faults: EngineFaults) -> None:
-        """Puts faults in force from now on."""
+        """Replaces the faults in effect."""
         self._faults = faults
 
     def drain(self) -> defer.Deferred:
-        """Refuses new work; fires when the work in flight is done."""
+        """Rejects new work; the Deferred fires when work in flight is done."""
         self._changes.drain()
         idle: defer.Deferred = defer.Deferred()
         self._idle_waiters.append(idle)
@@ -148,7 +149,7 @@
     # Requests
 
     def _apply_fault(self, request: Any) -> defer.Deferred | None:
-        """Returns the outcome that a fault or a crash forces, or None."""
+        """Returns the response that a fault or a crash forces, or None."""
         if self._faults.silent:
             return server.never_answer()
         if self._changes.state == "down":
@@ -174,7 +175,7 @@
             return self._refuse(request, refusal)
         attempt = self._make_attempt(request, attempt_id, wanted)
         self._attempts[attempt_id] = attempt
-        # The caller's going away ends the attempt from here on.
+        # From here on, a disconnect of the caller ends the attempt.
         done = attempt.watch(on_disconnect=self._end)
         if wanted.kv_import is not None and not await self._import_kv(attempt):
             self._end(attempt, "cancelled")
@@ -215,7 +216,7 @@
             index=wanted.resume_tokens,
             prefill_only=wanted.kv_export,
         )
-        # Tokens that the caller has are read like the prompt.
+        # Tokens that the caller already has are prefilled like the prompt.
         unread = sequence.prompt_tokens + wanted.resume_tokens
         sequence.prefill_tokens = 0 if wanted.kv_import else unread
         run = ledger.Run(
@@ -343,10 +344,10 @@
         return server.answer(request, {**report, **figures, "age_s": age_s})
 
     def _sample_load(self, now: float) -> tuple[dict[str, int], float]:
-        """Returns figures as old as the lag, as far as they were taken.
+        """Returns load values as old as the lag, and their age.
 
-        Figures are taken when asked for, not by a clock: each question takes
-        them for a later one, so that an engine nobody asks costs nothing.
+        Each request takes a sample for later ones. No timer does, so an
+        engine that nobody polls costs nothing.
         """
         lag_s = self._settings.load_lag_s
         self._samples.append((now, self._measure_load()))
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/enginemodel.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/enginemodel.py
@@ -1,10 +1,9 @@
-"""A fake model engine on a virtual clock, for the replay of traces.
+"""A simulated model engine on a virtual clock, for replaying traces.
 
-It keeps what decisions under load can feel: a queue in order of priority,
-continuous batching in which reading a prompt slows the answers that run
-beside it, limited KV memory, a prefix cache, roles that take seconds to
-change. Rates are constant between events, so that one request costs a few
-events however long its answer is.
+It models what affects scheduling under load: a priority queue, continuous
+batching in which a prefill slows the decodes in the same batch, limited KV
+memory, a prefix cache, and role changes that take seconds. Rates are constant
+between events, so one request costs a few events however long its answer is.
 """
 
 import collections
@@ -18,18 +17,18 @@
 from bulrushgrade import work
 
 PREFILL_TOKENS_PER_S = 8000.0
-"""Reading speed of an engine that does nothing else."""
+"""Prefill rate of an engine that does nothing else."""
 
 CHUNK_TOKENS = 512
-"""Tokens that a mixed engine reads in one step beside its answers."""
+"""Tokens that a mixed engine prefills in one step next to its decodes."""
 
 STEP_S = 0.015
 STEP_S_PER_REQUEST = 0.0004
-"""Time of a decode step, and what each running request adds."""
+"""Duration of a decode step, and what each running request adds to it."""
 
 MIXED_SLOTS = 48
 DECODE_SLOTS = 64
-"""Requests at once; a mixed engine keeps memory for its chunks."""
+"""Concurrent requests; a mixed engine reserves memory for its chunks."""
 
 KV_CAPACITY_TOKENS = 120_000
 CACHE_BLOCKS = 1500
@@ -43,15 +42,16 @@
     """One attempt of a request at one engine.
 
     Attributes:
-        request: The trace's request.
-        prompt_tokens: Tokens to hold, with those of an earlier attempt.
+        request_id: The id of the request in the trace.
+        prompt_tokens: Tokens of the prompt and of earlier attempts.
         output_tokens: Tokens to generate.
-        priority: Smaller is read sooner.
-        decode_engine: The engine that generates, or None for this one.
-        on_prefilled: Called when the prompt has been read.
+        priority: A smaller value is prefilled sooner.
+        decode_engine: The engine that decodes, or None for the one that
+            prefills.
+        on_prefilled: Called when the prompt has been prefilled.
         on_first_token: Called at the first token.
-        on_done: Called at the end.
-        on_failed: Called when the engine is lost or refuses.
+        on_done: Called when the last token has been generated.
+        on_failed: Called when an engine with the job is lost.
     """
 
     request_id: str
@@ -73,12 +73,12 @@
 
     @property
     def kv_tokens(self) -> int:
-        """KV memory that it holds from its start to its end."""
+        """KV memory that the job occupies from start to end."""
         return self.prompt_tokens + self.output_tokens
 
 
 class Engine:
-    """One engine, driven by simpy's clock."""
+    """One engine, driven by the clock of simpy."""
 
     def __init__(
         self,
@@ -114,17 +114,17 @@
 
     @property
     def slots(self) -> int:
-        """Requests that it runs at once at most."""
+        """The maximum number of concurrent requests."""
         mixed = self.role is work.Role.MIXED
         return MIXED_SLOTS if mixed else DECODE_SLOTS
 
     @property
     def jobs(self) -> int:
-        """Requests that are here, waiting or running."""
+        """The number of requests at the engine, waiting or running."""
         return len(self._admitted) + len(self._queue) + len(self._imports)
 
     def submit(self, job: Job) -> bool:
-        """Takes a request, or returns False when it doesn't start it."""
+        """Queues a request; returns False if the engine rejects it."""
         if self.state is not work.EndpointState.SERVING:
             return False
         if self.role is work.Role.DECODE:
@@ -137,7 +137,7 @@
         return True
 
     def cancel(self, job: Job) -> None:
-        """Drops a request wherever it is here."""
+        """Removes a request, whether it waits or runs."""
         job.ended = True
         self._advance()
         if job in self._admitted:
@@ -149,7 +149,7 @@
         self._update()
 
     def crash(self) -> None:
-        """Ends at once, with all that it had."""
+        """Goes down at once and fails all its requests."""
         self._advance()
         self.state = work.EndpointState.DOWN
         failed = [job for _, _, job in self._queue]
@@ -167,35 +167,35 @@
             self._fail(job)
 
     def resume_serving(self) -> None:
-        """Serves again, with an empty cache."""
+        """Serves again after a crash or a role change."""
         self.state = work.EndpointState.SERVING
         self._updated_at = self._env.now
 
     def start_draining(self) -> None:
-        """Finishes what it has and takes nothing new."""
+        """Finishes its requests and rejects new ones."""
         self.state = work.EndpointState.LEAVING
 
     def change_role(self, role: work.Role) -> None:
-        """Drains, is away for its change time, and serves in a new role."""
+        """Drains, is unavailable for a while, and serves in a new role."""
         self.state = work.EndpointState.LEAVING
         self.changes += 1
         self._next_role = role
         self._change_role_if_idle()
 
     def set_slow_factor(self, factor: float) -> None:
-        """Makes every step take this many times as long."""
+        """Sets the factor on the duration of every step."""
         self._advance()
         self.slow_factor = factor
         self._update()
 
     def generated(self, job: Job) -> int:
-        """Returns how many tokens of an answer have been generated."""
+        """Returns how many tokens have been generated for a request."""
         self._advance()
         left = max(0.0, job.end_at - self._decode_steps)
         return max(0, int(job.output_tokens - left))
 
     def load(self) -> work.LoadReport:
-        """Returns its present figures."""
+        """Returns the current load."""
         self._advance()
         unprefilled_tokens = sum(
             job.unprefilled_tokens or job.prompt_tokens
@@ -245,7 +245,7 @@
         event = self._env.timeout(delay_s)
         event.callbacks.append(lambda _: callback())
 
-    # Progress between events.
+    # Progress between events
 
     def _step_s(self) -> float:
         step = STEP_S + STEP_S_PER_REQUEST * len(self._decoding)
@@ -271,7 +271,7 @@
             )
 
     def _update(self) -> None:
-        """Brings all up to now, starts what can start, plans the next event."""
+        """Advances the state to now, starts jobs, schedules the next event."""
         self._advance()
         self._finish_due()
         self._start_due()
@@ -352,7 +352,7 @@
             self._prefilling = job
 
     def _preempt(self) -> None:
-        """A sooner priority is read first, from the next chunk on."""
+        """Interrupts the current prefill for a more urgent job."""
         job = self._prefilling
         if job is None or not self._queue:
             return
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/greedyplan.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/greedyplan.py
@@ -1,7 +1,7 @@
-"""The greedy role plan that the real one is measured against.
+"""A greedy role plan, the baseline that the real role plan is compared with.
 
-Every time it is asked it compares the demand of the last ten seconds with
-the roles, and changes the first engine that doesn't fit, at once.
+On every call it compares the demand of the last ten seconds with the roles,
+and changes the first engine that doesn't fit at once.
 """
 
 import collections
@@ -13,7 +13,7 @@
 
 
 class GreedyPlan:
-    """Follows the mix with engines that either read or answer."""
+    """Follows the demand with engines that either prefill or decode."""
 
     def __init__(self):
         self._seen: dict[str, work.Demand] = {}
@@ -22,7 +22,7 @@
         )
 
     def observe(self, host: str, demand: work.Demand, now: float) -> None:
-        """Takes in a host's demand so far."""
+        """Records the cumulative demand of a host."""
         before = self._seen.get(host, demand)
         self._seen[host] = demand
         prefill_demand = demand.prefill_tokens - before.prefill_tokens
@@ -34,7 +34,7 @@
     def propose(
         self, view: roleplan.GroupView, now: float
     ) -> roleplan.RoleChange | None:
-        """Returns a change towards the present mix."""
+        """Returns a role change towards the current demand, or None."""
         serving = [
             e for e in view.endpoints if e.state is work.EndpointState.SERVING
         ]
@@ -63,4 +63,4 @@
         )
 
     def record_change(self, change: roleplan.RoleChange, now: float) -> None:
-        """Waits for nothing."""
+        """Does nothing: the plan doesn't wait after a change."""
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/hostlist.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/hostlist.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's host list, which lags behind what is set."""
+"""A stand-in for the platform's host list, which shows changes late."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 
 @attrs.define(kw_only=True)
 class HostListFaults:
-    """What is wrong with the host list.
+    """Faults of the host list.
 
     Attributes:
-        outage: Reads are answered with 503.
-        silent: Reads are not answered.
-        nonsense: Reads are answered with bytes that aren't JSON.
+        outage: Answers reads with 503.
+        silent: Does not answer reads.
+        nonsense: Answers reads with bytes that aren't JSON.
     """
 
     outage: bool = False
@@ -25,7 +25,7 @@
 
 
 class HostList:
-    """The list as readers see it, and the app that serves it."""
+    """The list as readers see it, and the HTTP app that serves it."""
 
     def __init__(self, *, lag_s: float = 0.0):
         self._lag_s = lag_s
@@ -53,8 +53,8 @@
         """Sets the list; readers see it after the lag.
 
         Args:
-            hosts: Entries as docs/WIRE.md describes them.
-            lag_s: Seconds of lag for this change; None takes the usual lag.
+            hosts: Entries as specified in docs/WIRE.md.
+            lag_s: Lag of this change in seconds; None uses the default lag.
 
         Returns:
             The version under which readers will see it.
@@ -69,7 +69,8 @@
         return self._latest_version
 
     def _publish(self, seen: dict[str, Any]) -> None:
-        # A change with a long lag must not undo a later one with a short lag.
+        # A change with a long lag must not replace a later one with a short
+        # lag.
         if seen["version"] > self._visible["version"]:
             self._visible = seen
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/kvcache.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/kvcache.py
@@ -1,4 +1,4 @@
-"""KV cache that one engine exports and another imports."""
+"""Transfer of KV cache from one engine to another."""
 
 import itertools
 import time
@@ -14,7 +14,7 @@
 
 
 class KvExports:
-    """The exported KV cache of prompts, by handle, for a limited time."""
+    """Exported KV caches of prompts by handle, which expire."""
 
     def __init__(self):
         self._numbers = itertools.count()
@@ -22,18 +22,18 @@
 
     @property
     def tokens(self) -> int:
-        """How many tokens are held."""
+        """Number of tokens in all exports."""
         self._drop_expired()
         return sum(batch.count_tokens(p) for p, _ in self._entries.values())
 
     def export(self, prompt: str) -> str:
-        """Holds the KV cache of a prompt and returns its handle."""
+        """Exports the KV cache of a prompt and returns its handle."""
         handle = f"kv-{next(self._numbers)}"
         self._entries[handle] = (prompt, time.monotonic() + _ENTRY_TTL_S)
         return handle
 
     def find(self, handle: str) -> str | None:
-        """Returns the prompt behind a handle, or None where it is gone."""
+        """Returns the prompt of a handle, or None if the export has expired."""
         self._drop_expired()
         prompt, _ = self._entries.get(handle, (None, 0.0))
         return prompt
@@ -47,7 +47,7 @@
     """Fetches the KV cache of a prompt from another engine.
 
     Returns:
-        Whether it was there and of this very prompt.
+        Whether the KV cache was there and is that of this prompt.
     """
     url = f"http://{source.address}/kv/{source.handle}"
     try:
@@ -56,7 +56,7 @@
         )
         value = await response.json()
     except Exception:
-        # Whatever the failure, the caller only has to know that there is no
-        # KV cache: it then has the prompt read anew.
+        # For any failure the caller only needs to know that there is no KV
+        # cache: the prompt is then prefilled again.
         return False
     return response.code == 200 and value.get("prompt") == prompt
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/ledger.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/ledger.py
@@ -1,6 +1,6 @@
-"""What an endpoint ran, kept so that a test can check what callers were told.
+"""Records what an endpoint ran, for tests that check the callers' answers.
 
-An attempt is entered before any work on it is done, so that whatever is
+An attempt is recorded before any work on it is done, so an attempt that is
 missing here has certainly not run.
 """
 
@@ -13,11 +13,11 @@
 
     Attributes:
         attempt: The ``X-Attempt-Id`` header.
-        request: The ``X-Request-Id`` header, empty where there was none.
-        key: The ``Idempotency-Key`` header, empty where there was none.
+        request: The ``X-Request-Id`` header, empty if there was none.
+        key: The ``Idempotency-Key`` header, empty if there was none.
         method: The HTTP method.
         path: The path.
-        at_s: When it started, in seconds of the machine's monotonic clock.
+        at_s: Start time, in seconds of the machine's monotonic clock.
         ended: ``""`` while it runs, then ``done``, ``cut`` or ``cancelled``.
     """
 
@@ -32,14 +32,14 @@
 
 @attrs.define(kw_only=True)
 class OrderEntry:
-    """One order that an engine held.
+    """One order that an engine accepted.
 
     Attributes:
-        order_id: The order's id.
-        term: Its fencing number.
-        wanted: The state that it asked for.
-        from_s: When the engine took it, in seconds of the monotonic clock.
-        until_s: When its change ended, or None while it runs.
+        order_id: The id of the order.
+        term: The fencing token of the order.
+        wanted: The configuration that the order asked for.
+        from_s: Time of acceptance, in seconds of the monotonic clock.
+        until_s: End of the change, or None while it runs.
         outcome: ``""`` while it runs, then ``done`` or ``crashed``.
     """
 
@@ -53,12 +53,12 @@
 
 @attrs.define(kw_only=True)
 class Ledger:
-    """All that one endpoint has to show.
+    """The record of one endpoint.
 
     Attributes:
         runs: The attempts in order of their start.
-        orders: The orders in the order in which the engine took them.
-        refused: How many requests were refused as not started.
+        orders: The orders in order of acceptance.
+        refused: How many requests were rejected as not started.
     """
 
     runs: list[Run] = attrs.field(factory=list)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/link.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/link.py
@@ -1,8 +1,8 @@
-"""A TCP relay that a test puts between two parties and then breaks.
+"""A TCP relay that injects network faults between two parties.
 
-It stands for the network between hosts: a cut resets every connection, and a
-link gone silent keeps connections open while their bytes are lost, which is
-what a party sees when something in between has forgotten the connection.
+It simulates the network between hosts: a cut resets every connection, and a
+silent link keeps connections open but drops their bytes, as when a device in
+between has lost its state of the connection.
 """
 
 from typing import Any
@@ -17,16 +17,16 @@
 
 @attrs.define(kw_only=True)
 class LinkFaults:
-    """What is wrong with the link.
+    """Faults of the link.
 
     Attributes:
-        cut: Open connections are reset, and so is each new one.
-        silent: All bytes are dropped; connections open and stay open.
-        silence_open: Bytes of the connections that are open now are dropped
-            for as long as they live; new connections work.
+        cut: Resets all open connections and each new one.
+        silent: Drops all bytes; connections can be opened and stay open.
+        silence_open: Drops all bytes of the connections that are open now,
+            until they close; new connections work.
         direction: Which bytes `silent` and `silence_open` drop: ``both``,
             ``up`` (to the target) or ``down`` (from it).
-        delay_s: Seconds by which bytes arrive later.
+        delay_s: Added latency, in seconds.
     """
 
     cut: bool = False
@@ -37,7 +37,7 @@
 
 
 class _Side(protocol.Protocol):
-    """One end of a relayed connection; hands its bytes to the other."""
+    """One end of a relayed connection; forwards its bytes to the other."""
 
     noisy = False
 
@@ -57,7 +57,7 @@
 
 
 class _Pair:
-    """One connection of a caller and the one to the target behind it."""
+    """A connection from a caller and the matching one to the target."""
 
     def __init__(self, *, link: "Link"):
         self._link = link
@@ -108,8 +108,8 @@
         self._ended += 1
         if self._ended == 2:
             self._link.pairs.discard(self)
-        # The end of a connection travels like its bytes, and after them:
-        # over a silent link the other party never learns of it.
+        # A close is forwarded like the bytes and after them. A silent link
+        # drops it too, so the other party never sees it.
         if not self._drops(direction):
             delay_s = self._link.faults.delay_s
             other = self.target if side is self.caller else self.caller
@@ -134,7 +134,7 @@
 
 
 class Link:
-    """The relay's state and the app that sets its faults."""
+    """The relay and the HTTP app that sets its faults."""
 
     def __init__(self, *, target: str):
         self._target = server.parse_address(target)
@@ -155,21 +155,21 @@
 
     @property
     def target(self) -> tuple[str, int]:
-        """Where connections are relayed to."""
+        """The address that connections are relayed to."""
         return self._target
 
     @property
     def faults(self) -> LinkFaults:
-        """What is wrong at present."""
+        """The faults in effect."""
         return self._faults
 
     @property
     def pairs(self) -> set[_Pair]:
-        """The connections that are open."""
+        """The open connections."""
         return self._pairs
 
     def set_faults(self, faults: LinkFaults) -> None:
-        """Puts faults in force from now on."""
+        """Replaces the faults in effect."""
         self._faults = faults
         for pair in list(self._pairs):
             if faults.cut:
@@ -178,7 +178,7 @@
                 pair.silence(faults.direction)
 
     def listen(self, listen: str = "127.0.0.1:0") -> server.Listener:
-        """Relays what connects to an address, in the running reactor."""
+        """Relays connections to an address, in the running reactor."""
         factory = protocol.Factory()
         factory.buildProtocol = lambda _address: _Pair(link=self).caller
         return server.listen_tcp(factory=factory, listen=listen)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/log.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/log.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's log service.
 
-It keeps streams in memory, numbers records from 0 a stream, limits the rate
-of appends, and brings about the faults that the real service is known for.
+It keeps streams in memory, numbers the records of each stream from 0, limits
+the rate of appends, and injects faults that the real service is known for.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 from bulrushgrade_standins import server
 
-# What the users say their service takes: several hundred appends a second.
+# Its users report several hundred appends per second for the real service.
 _APPENDS_PER_S = 400.0
 _MAX_PAGE_RECORDS = 1000
 _MAX_WAIT_S = 60.0
@@ -24,20 +24,20 @@
 
 @attrs.define(kw_only=True)
 class LogFaults:
-    """What is wrong with the log service.
+    """Faults of the log service.
 
     Attributes:
-        outage: Everything is answered with 503.
-        silent: Nothing is answered.
-        nonsense: Everything is answered with 200 and bytes that aren't JSON.
-        slow_s: Seconds by which each answer is late; the append itself takes
-            effect before the wait.
-        lose_answers: How many appends to come take effect and have their
+        outage: Answers every request with 503.
+        silent: Answers no request.
+        nonsense: Answers every request with 200 and bytes that aren't JSON.
+        slow_s: Delay of each answer, in seconds; an append takes effect
+            before the delay.
+        lose_answers: How many of the next appends take effect but get a
             connection reset instead of an answer.
-        lose_requests: How many appends to come have their connection reset
+        lose_requests: How many of the next appends get a connection reset
             without taking effect.
-        stream: The two faults above apply to appends to streams
-            whose names start with this.
+        stream: The two faults above apply only to streams whose names start
+            with this prefix.
     """
 
     outage: bool = False
@@ -81,7 +81,7 @@
 
 
 class LogService:
-    """The streams and the app that serves them."""
+    """The streams and the HTTP app that serves them."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
         return self._app
 
     def set_faults(self, faults: LogFaults) -> None:
-        """Puts faults in force from now on."""
+        """Replaces the faults in effect."""
         self._faults = faults
 
     def trim(self, stream: str, offset: int) -> None:
@@ -124,7 +124,7 @@
         stored.earliest += dropped
 
     async def _apply_fault(self, request: Any) -> bytes | None:
-        """Returns the answer that a fault forces, or None."""
+        """Returns the response that a fault forces, or None."""
         faults = self._faults
         if faults.slow_s:
             await server.sleep(faults.slow_s)
@@ -158,8 +158,8 @@
         if is_affected and faults.lose_answers > 0:
             faults.lose_answers -= 1
             return server.abort(request)
-        # A fault that began meanwhile hides the answer of an append that has
-        # taken effect, as an outage of a real service would.
+        # A fault that started in the meantime hides the answer of an append
+        # that has taken effect, as an outage of a real service would.
         fault_response = await self._apply_fault(request)
         return fault_response or server.answer(request, {"offsets": offsets})
 
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/outcome.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/outcome.py
@@ -1,4 +1,4 @@
-"""Requests on their way through a replay, and the figures of a run."""
+"""The requests of a replay, and the metrics of a run."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Call:
-    """One request on its way.
+    """One request in a replay.
 
     Attributes:
         outcome: ``complete``, ``refused``, ``failed``, ``left`` (the caller
-            left at its deadline), or empty while it goes on.
+            disconnected at its deadline), or empty while in progress.
     """
 
     request: traces.Request
@@ -30,7 +30,7 @@
 
     @property
     def step_s(self) -> float | None:
-        """Mean seconds between tokens of a complete answer."""
+        """Mean time between tokens of a complete answer, in seconds."""
         if self.outcome != "complete" or self.request.output_tokens < 2:
             return None
         decode_s = self.ended_at - self.first_at
@@ -38,7 +38,7 @@
 
     @property
     def on_time(self) -> bool:
-        """Whether the whole answer came, and all of it in time."""
+        """Whether the answer is complete and met all its deadlines."""
         if self.outcome != "complete":
             return False
         request = self.request
@@ -53,7 +53,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Host:
-    """An entry host: a scheduler and its own view of the fleet."""
+    """An entry host: a scheduling policy and its own view of the fleet."""
 
     name: str
     policy: Any
@@ -64,16 +64,16 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What a replay came to.
+    """The results of a replay.
 
     Attributes:
-        trace: What was replayed.
+        trace: The replayed trace.
         calls: Every request, in order of arrival.
-        role_changes: How many were ordered.
-        away_s: Seconds that engines were away for them.
-        retries: Attempts after one that had started.
-        rejections: Attempts after one that an engine did not start.
-        dumps: The hosts' states at the end.
+        role_changes: How many role changes were ordered.
+        away_s: Seconds that engines were unavailable for role changes.
+        retries: Attempts made after one that had started.
+        rejections: Attempts made after one that an engine did not start.
+        dumps: Dumps of the hosts' state at the end.
     """
 
     trace: traces.Trace
@@ -86,7 +86,7 @@
 
 
 def summarize(outcome: Outcome) -> dict[str, float]:
-    """Returns the figures of a run; times in seconds."""
+    """Returns the metrics of a run, with times in seconds."""
     start = outcome.trace.header.scored_from_s
     calls = [c for c in outcome.calls if c.request.at_s >= start]
     span = outcome.trace.header.duration_s - start
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/plain.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: it echoes, and keeps a ledger of its runs."""
+"""A stand-in for a plain service that echoes requests and records its runs."""
 
 import time
 from typing import Any
@@ -15,16 +15,16 @@
 
 @attrs.define(kw_only=True)
 class PlainFaults:
-    """What is wrong with the service.
+    """Faults of the service.
 
     Attributes:
-        refuse: New requests are refused as not started.
-        silent: Requests run and are never answered.
-        die_before: The connection is reset before the request has run.
-        die_after: The connection is reset after the request has run.
-        wrong_attempt: The answers of other attempts come, with their ids.
-        slow_s: Seconds by which each run takes longer.
-        times: How many requests the faults but `slow_s` apply to, or None
+        refuse: Rejects new requests as not started.
+        silent: Runs requests but never answers.
+        die_before: Resets the connection before the request has run.
+        die_after: Resets the connection after the request has run.
+        wrong_attempt: Sends the answers of other attempts, with their ids.
+        slow_s: Seconds added to each run.
+        times: How many requests the faults except `slow_s` apply to, or None
             for all.
     """
 
@@ -38,7 +38,7 @@
 
 
 class PlainService:
-    """The service's ledger and the app that serves it."""
+    """A plain service and the HTTP app that serves it."""
 
     def __init__(self, *, work_s: float = 0.0):
         self._work_s = work_s
@@ -66,15 +66,15 @@
 
     @property
     def ledger(self) -> ledger.Ledger:
-        """What has run."""
+        """The requests that ran."""
         return self._ledger
 
     def set_faults(self, faults: PlainFaults) -> None:
-        """Puts faults in force from now on."""
+        """Replaces the faults in effect."""
         self._faults = faults
 
     def drain(self) -> defer.Deferred:
-        """Refuses new requests; fires when those in flight are done."""
+        """Rejects new requests; the Deferred fires when none is in flight."""
         self._draining = True
         idle: defer.Deferred = defer.Deferred()
         self._idle_waiters.append(idle)
@@ -88,7 +88,7 @@
                 idle.callback(None)
 
     def _consume_faults(self) -> PlainFaults:
-        """Returns the faults of one request and counts it."""
+        """Returns the faults for the next request and counts the request."""
         faults = self._faults
         if faults.times is None:
             return faults
@@ -134,7 +134,7 @@
         if faults.die_after:
             return server.abort(request)
         body = request.content.read().decode("utf-8", "replace")
-        # A crossed answer is another caller's in id and in content.
+        # Like an answer for another caller, it differs in id and content.
         path = f"{run.path}-other" if faults.wrong_attempt else run.path
         echo = {"method": run.method, "path": path, "body": body}
         return server.answer(request, echo)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/replay.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/replay.py
@@ -1,8 +1,8 @@
-"""Replays a trace through the decision core against fake engines.
+"""Replays a trace through the scheduler against simulated engines.
 
-Several hosts decide, each with its own view: the host list, the engines'
-reports and the peers' messages reach each of them at different times. All
-runs on simpy's virtual clock.
+Several hosts schedule requests, each with its own view: the host list, the
+engines' load reports and the peers' messages reach each host at different
+times. Everything runs on simpy's virtual clock.
 """
 
 from collections.abc import Callable
@@ -28,39 +28,39 @@
 REPORT_PERIOD_S = 1.0
 REPORT_LAG_S = (0.3, 1.2)
 HOST_LIST_LAG_S = (0.5, 2.0)
-"""How late a host learns that an engine is leaving, lost or back."""
+"""Delay until a host learns that an engine is leaving, lost or back."""
 
 ORDER_LAG_S = (0.05, 0.4)
-"""How late a host learns of a role change, which is on the log."""
+"""Delay until a host reads a role change from the log."""
 
 PLAN_PERIOD_S = 2.0
 PROGRESS_PERIOD_S = 1.0
-"""How often a host looks at the tokens that an answer has got."""
+"""How often a host counts the tokens generated for each request."""
 
 DRAIN_TIME_S = 60.0
-"""Seconds past the trace's end for what is still running."""
+"""Seconds after the end of the trace for running requests to finish."""
 
 MakePolicy = Callable[[random.Random], Any]
-"""Makes a host's scheduler, or a baseline in its place."""
+"""Creates a host's scheduler, or a baseline policy in its place."""
 
 
 class Planner(Protocol):
-    """What decides on role changes."""
+    """Decides which engines change their roles."""
 
     def observe(self, host: str, demand: work.Demand, now: float) -> None:
-        """Takes in a host's demand."""
+        """Records the demand that a host reports."""
 
     def propose(
         self, view: roleplan.GroupView, now: float
     ) -> roleplan.RoleChange | None:
-        """Returns a change to order."""
+        """Returns the role change to order, or None."""
 
     def record_change(self, change: roleplan.RoleChange, now: float) -> None:
-        """Notes that it was ordered."""
+        """Records that a change was ordered."""
 
 
 class Replay:
-    """One run of one trace."""
+    """Simulates one run of a trace."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
         event = self._env.timeout(delay_s)
         event.callbacks.append(lambda _: callback())
 
-    # What arrives.
+    # Requests and events of the trace
 
     def _feed(self):
         items = [*self._trace.requests, *self._trace.events]
@@ -188,7 +188,7 @@
         self._announce_state(engine, HOST_LIST_LAG_S)
 
     def _announce_state(self, engine, lag_s, *, state=None) -> None:
-        """Lets each host learn an engine's state, each at its own time."""
+        """Updates every host's view of an engine, each after its own delay."""
         announced = self._make_endpoint(engine)
         if state is not None:
             announced = attrs.evolve(announced, state=state)
@@ -203,7 +203,7 @@
         host.policy.set_endpoints(tuple(host.view.values()), self._env.now)
         self._poll(host)
 
-    # A call's way.
+    # The life of a call
 
     def _apply_decision(
         self, call: outcome.Call, decision: work.Decision
@@ -284,7 +284,7 @@
         call.ended_at = self._env.now
         call.host.calls.pop(call.request.request_id, None)
 
-    # Polls, peers, reports and roles.
+    # Polls, peer messages, load reports and role changes
 
     def _poll_soon(self, host: outcome.Host) -> None:
         if host.poll_at is not None:
@@ -396,12 +396,12 @@
 
 
 def new_scheduler(rng: random.Random) -> scheduler.Scheduler:
-    """Makes a host with the decision core."""
+    """Creates the scheduler of one host."""
     return scheduler.Scheduler(zone="", rng=rng)
 
 
 def new_role_plan(trace: traces.Trace) -> roleplan.RolePlan:
-    """Makes the role plan with the weights of a trace's services."""
+    """Creates a role plan with the weights of the trace's services."""
     services = trace.header.services
     return roleplan.RolePlan(
         goodput_weight=max(s.goodput_weight for s in services),
@@ -410,11 +410,11 @@
 
 
 def replay(trace: traces.Trace, *, seed: int = 0) -> outcome.Outcome:
-    """Replays a trace through the decision core.
+    """Replays a trace through the scheduler and the role plan.
 
     Args:
-        trace: The trace.
-        seed: Of the lags and of the hosts' random choices.
+        trace: The trace to replay.
+        seed: Seeds the delays and the hosts' random choices.
     """
     return Replay(
         trace=trace,
@@ -425,14 +425,14 @@
 
 
 def replay_file(path: pathlib.Path, *, json: bool = False) -> str:
-    """Replays a trace's file and returns the figures as text.
+    """Replays a trace file and returns the metrics of the run as text.
 
     Args:
-        path: The trace, JSON lines.
-        json: Whether a program reads it.
+        path: The trace file, in JSON lines.
+        json: Whether to return JSON instead of a table.
 
     Raises:
-        ValueError: The file is not a trace; names the line.
+        ValueError: The file is not a valid trace; the message names the line.
     """
     figures = outcome.summarize(replay(traces.read_trace(pathlib.Path(path))))
     if json:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/report.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/report.py
@@ -1,4 +1,4 @@
-"""The table of goodput and role changes, against baselines and a bound.
+"""Compares goodput and role changes with baselines and an upper bound.
 
 Run with ``python -m bulrushgrade_standins.report``; docs/DECISIONS.md holds
 the table of the last run.
@@ -27,15 +27,16 @@
 
 POLICIES = ("ours", "round_robin", "least", "static", "greedy")
 STATIC_SPLITS = 2
-"""Fixed splits that are replayed to find the best, besides the trace's own and
-all mixed; a fluid estimate ranks them."""
+"""How many fixed role splits are replayed to find the best one, in addition to
+that of the trace and to all mixed; a fluid estimate ranks the splits."""
 
 FORCED_FRACTION = 0.05
-"""Part of the refused work that is queued all the same in a run of its own,
-to see whether it would have been in time."""
+"""Fraction of refused requests that a separate run queues anyway, to measure
+how many of them would have been in time."""
 
 MIN_REFUSED_FRACTION = 0.01
-"""Below this part of refusals too few would be forced to say anything."""
+"""Below this fraction of refusals, too few requests would be queued anyway for
+a meaningful result."""
 
 Figures = dict[str, float]
 
@@ -52,7 +53,7 @@
 
 
 def run_policy(policy: str, trace: traces.Trace, seed: int) -> Figures:
-    """Replays a trace under one policy and returns its figures."""
+    """Replays a trace under one policy and returns the metrics of the run."""
     if policy == "ours":
         figures = _figures(
             _run(trace, seed, replay.new_scheduler, replay.new_role_plan(trace))
@@ -83,7 +84,7 @@
 def run_case(
     deployment: str, case: str, seed: int, duration_s: float
 ) -> dict[str, Figures]:
-    """Returns the figures of every policy on one trace."""
+    """Returns the metrics of every policy on one trace."""
     trace = tracegen.generate(
         tracegen.DEPLOYMENTS[deployment], case, seed=seed, duration_s=duration_s
     )
@@ -102,7 +103,7 @@
     duration_s: float,
     workers: int,
 ) -> dict[tuple[str, str, str], list[Figures]]:
-    """Returns figures a seed by deployment, case and policy."""
+    """Returns the metrics per seed, by deployment, case and policy."""
     keys = [(d, c, s) for d in deployments for c in cases for s in seeds]
     found: dict[tuple[str, str, str], list[Figures]] = {}
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
@@ -172,12 +173,12 @@
 
 
 def _worst_team(outcome: outcomes.Outcome) -> float:
-    """Least goodput of a team against what its share guarantees it.
+    """Returns the lowest ratio of a team's goodput to its guaranteed share.
 
-    Guaranteed is the lesser of what it asked for and its share of all that
-    the fleet answered in time, both in engine seconds. A share of the bare
-    engines' time would be no measure: a mix that needs one kind of engine
-    only leaves the others idle whoever is served.
+    The guarantee is the smaller of the team's demand and its share of all that
+    the fleet answered in time, both in engine seconds. A share of the engines'
+    total time would be unsuitable: a mix that needs only one kind of engine
+    leaves the others idle, whichever team is served.
     """
     header = outcome.trace.header
     calls = [c for c in outcome.calls if c.request.at_s >= header.scored_from_s]
@@ -202,7 +203,7 @@
 
 
 def _mean_cost_s(calls: Iterable[outcomes.Call], service: str) -> float:
-    """Mean engine seconds of a service's requests, as much cached as was."""
+    """Mean engine seconds of a service's requests, given their cache hits."""
     costs = [
         bound.cost_s(call.request, call.job.cached_tokens)
         for call in calls
@@ -212,10 +213,10 @@
 
 
 def _measure_wrong_refusals(trace: traces.Trace, seed: int) -> float:
-    """Part of refused work that would have been in time.
+    """Returns the fraction of refused requests that would have been in time.
 
-    In a run of its own, a small part of what is to be refused is queued like
-    any other work; too small a part to change the load.
+    A separate run queues a small fraction of the requests to be refused like
+    any others. The fraction is too small to change the load.
     """
     forced: set[str] = set()
 
@@ -260,7 +261,7 @@
 
 
 def main(arguments: list[str] | None = None) -> dict[str, Any]:
-    """Runs what the command line asks for and prints the table."""
+    """Runs the policies for the given arguments and prints the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--deployments", nargs="+", default=list(tracegen.DEPLOYMENTS)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/server.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/server.py
@@ -1,8 +1,8 @@
-"""Serving a klein app on an address, and what every stand-in answers alike.
+"""Serves klein apps, and has helpers that all stand-ins share.
 
-Faults are state of a stand-in, set by ``POST /fault`` with a JSON object that
-replaces the whole set; ``{}`` ends them all. A test with real processes can
-thus bring a failure about and end it without touching the process.
+The faults of a stand-in are set by ``POST /fault`` with a JSON object that
+replaces the whole set; ``{}`` clears them all. A test with real processes can
+thus start and end a failure without touching the process.
 """
 
 from collections.abc import Callable
@@ -18,17 +18,17 @@
 from twisted.web import http
 from twisted.web import server
 
-# How long a keep-alive connection may idle; long, because pools that hold
-# stale connections are what the daemon's own guards are tested against.
+# How long a keep-alive connection may idle. It is long because the tests check
+# how the daemon handles stale pooled connections.
 _IDLE_TIMEOUT_S = 600
 
 
 @attrs.frozen(kw_only=True)
 class Listener:
-    """A server that listens.
+    """A listening server.
 
     Attributes:
-        address: Where, as ``IP:PORT``.
+        address: The address it listens on, as ``IP:PORT``.
         stop: Stops listening and aborts the open connections; the Deferred
             fires when the port is free.
     """
@@ -38,7 +38,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Returns the IP number and port in ``IP:PORT``.
+    """Returns the IP address and the port in ``IP:PORT``.
 
     Raises:
         ValueError: The text has no port number.
@@ -51,7 +51,7 @@
     """Serves an app in the running reactor.
 
     Args:
-        app: What answers the requests.
+        app: The app that handles the requests.
         listen: ``IP:PORT``; port 0 takes a free one.
 
     Returns:
@@ -63,7 +63,7 @@
 
 
 def listen_tcp(*, factory: Any, listen: str) -> Listener:
-    """Listens with any protocol factory; as `serve` otherwise."""
+    """Listens like `serve`, with any protocol factory."""
     host, number = parse_address(listen)
     tracked = policies.WrappingFactory(factory)
     tracked.noisy = False
@@ -83,11 +83,11 @@
 def answer(
     request: Any, value: Any, *, code: int = 200, **headers: str
 ) -> bytes:
-    """Sets status and headers and returns the JSON body.
+    """Sets the status and headers of a response and returns its JSON body.
 
     Args:
         request: The request to answer.
-        value: What msgspec can encode.
+        value: A value that msgspec can encode.
         code: The HTTP status.
         **headers: Further headers, with ``_`` for ``-`` in their names.
     """
@@ -101,7 +101,7 @@
 def answer_not_started(
     request: Any, reason: str, *, code: int = 503, retry_after_s: int = 1
 ) -> bytes:
-    """Refuses a request that has not run and never will."""
+    """Rejects a request that has not been started and never will be."""
     return answer(
         request,
         {"code": reason},
@@ -121,7 +121,7 @@
 
 
 def read_header(request: Any, name: str) -> str:
-    """Returns a header of the request, empty where it has none."""
+    """Returns a request header, or an empty string."""
     return request.getHeader(name) or ""
 
 
@@ -129,21 +129,21 @@
     """Returns a number from the query string.
 
     Raises:
-        ValueError: It is there and not a number.
+        ValueError: The parameter is not a number.
     """
     values = request.args.get(name.encode())
     return float(values[0]) if values else default
 
 
 def abort(request: Any) -> defer.Deferred:
-    """Resets the connection of a request; the caller sees no (more) answer."""
+    """Resets the connection of a request; the caller gets no more bytes."""
     if request.channel is not None:
         request.channel.transport.abortConnection()
     return never_answer()
 
 
 def never_answer() -> defer.Deferred:
-    """Leaves a request without an answer until its caller goes away."""
+    """Leaves a request unanswered until its caller disconnects."""
     return defer.Deferred()
 
 
@@ -164,8 +164,8 @@
     Args:
         app: The stand-in's app.
         kind: The attrs class of its faults; every attribute has a default.
-        read: Returns the present faults.
-        write: Puts other faults in force.
+        read: Returns the faults in effect.
+        write: Replaces the faults in effect.
     """
 
     def get_fault(request: Any) -> bytes:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/trace.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/trace.py
@@ -1,6 +1,6 @@
-"""Traces of requests as JSON lines, read and written.
+"""Reads and writes traces of requests as JSON lines.
 
-The first line is the header, the others are requests and events in order of
+The first line is the header; the others are requests and events in order of
 time. docs/DECISIONS.md has the schema.
 """
 
@@ -29,19 +29,20 @@
 
 @attrs.frozen(kw_only=True)
 class Header:
-    """What a trace says of itself.
+    """Metadata of a trace.
 
     Attributes:
-        name: The trace's name.
-        generated: Whether it was made by a program and not recorded.
-        seed: The program's seed, or None.
-        parameters: The program's other parameters.
+        name: The name of the trace.
+        generated: Whether a program generated it, as opposed to a recording.
+        seed: The seed of the generator, or None.
+        parameters: Other parameters of the generator.
         model: The model that all engines run.
-        engines: The fleet.
-        services: The services' policies.
-        hosts: How many entry hosts decide.
+        engines: The engines of the fleet.
+        services: The policies of the services.
+        hosts: Number of entry hosts.
         duration_s: Length of the trace.
-        scored_from_s: Requests that arrive sooner warm up and don't count.
+        scored_from_s: Requests that arrive earlier are a warm-up and are left
+            out of the metrics.
     """
 
     name: str
@@ -62,17 +63,18 @@
     """One request of a trace.
 
     Attributes:
-        at_s: When it arrives, from the trace's start.
-        request_id: Unique in the trace.
+        at_s: Arrival time, from the start of the trace.
+        request_id: Unique id in the trace.
         service: The service that it belongs to.
         team: The member team that owns the service.
         prompt_tokens: Length of the prompt.
-        output_tokens: Length of the answer as it turns out.
-        expected_output_tokens: Length that is expected when it arrives.
-        prefix: Parts of the prompt that others share, as name and tokens.
-        deadline_s: Seconds in which the answer has to be complete.
-        first_token_s: Seconds in which its first token has to come, or None.
-        between_tokens_s: Longest mean time between tokens, or None.
+        output_tokens: Actual length of the answer.
+        expected_output_tokens: Length expected on arrival.
+        prefix: Leading parts of the prompt that requests share, as pairs of
+            name and token count.
+        deadline_s: Time limit for the complete answer.
+        first_token_s: Time limit for the first token, or None.
+        between_tokens_s: Limit on the mean time between tokens, or None.
     """
 
     at_s: float
@@ -90,13 +92,13 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """Something that happens to an engine.
+    """An event that affects an engine.
 
     Attributes:
-        at_s: When, from the trace's start.
+        at_s: Time of the event, from the start of the trace.
         engine: The engine's address.
         what: ``slow``, ``lose``, ``back`` or ``leave``.
-        factor: For ``slow``, how many times as long a step takes.
+        factor: For ``slow``, the factor on the duration of a step.
     """
 
     at_s: float
@@ -107,7 +109,7 @@
 
 @attrs.frozen(kw_only=True)
 class Trace:
-    """A whole trace."""
+    """A trace with its header, requests and events."""
 
     header: Header
     requests: tuple[Request, ...]
@@ -132,10 +134,10 @@
 
 
 def read_trace(path: pathlib.Path) -> Trace:
-    """Reads a trace of JSON lines.
+    """Reads a trace from a file of JSON lines.
 
     Raises:
-        ValueError: A line is not what the schema says; names the line.
+        ValueError: A line violates the schema; the message names the line.
     """
     found: dict[str, list[Any]] = {kind: [] for kind in _KINDS}
     for number, line in enumerate(path.read_bytes().splitlines(), start=1):
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/tracegen.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/tracegen.py
@@ -1,7 +1,7 @@
-"""Generated traces: both deployments' sizes, in the cases that are measured.
+"""Generates traces of both deployments for the measured cases.
 
-Every trace says in its header that it is generated, from which seed and with
-which parameters.
+The header of every trace says that it is generated, and holds the seed and
+the parameters.
 """
 
 import argparse
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class Kind:
-    """How requests of one service are drawn."""
+    """The distribution of the requests of one service."""
 
     service: str
     team: str
@@ -34,12 +34,12 @@
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """One deployment's fleet, services and kinds of requests.
+    """The fleet, services and kinds of requests of one deployment.
 
     Attributes:
-        wrong_roles: A split of the fleet that doesn't suit its work.
-        rates: Requests a second of each kind at which the fleet is just full.
-        reading: The kind that is long reading.
+        wrong_roles: Roles that don't suit the deployment's load.
+        rates: Requests per second of each kind that just fill the fleet.
+        prefill_heavy: The service whose requests have long prompts.
     """
 
     name: str
@@ -127,11 +127,11 @@
 DEPLOYMENTS = {item.name: item for item in (ORTAK, OGEECHEE)}
 
 Shape = Callable[[float, Kind], float]
-"""Factor on a kind's rate at a time of the trace."""
+"""Returns the factor on the rate of a kind at a time of the trace."""
 
 
 NORMAL_LOAD = 0.8
-"""Load of an ordinary hour, as a part of capacity."""
+"""Load of an ordinary hour, as a fraction of capacity."""
 
 
 def _steady(_at: float, _kind: Kind) -> float:
@@ -143,7 +143,7 @@
 
 
 def _flips(deployment: Deployment, period_s: float) -> Shape:
-    """Reading and chat trade places: one high while the other is low."""
+    """Alternates between mostly prefill-heavy and mostly other requests."""
 
     def shape(at: float, kind: Kind) -> float:
         prefill_heavy_high = int(at / period_s) % 2 == 0
@@ -156,7 +156,7 @@
 
 
 def _shift(deployment: Deployment) -> Shape:
-    """The mix moves to reading after a third of the trace, for good."""
+    """Shifts the mix to prefill-heavy requests after a third of the trace."""
 
     def shape(at: float, kind: Kind) -> float:
         if at < DURATION_S / 3.0:
@@ -171,7 +171,7 @@
 
 
 def _outage(at: float, _kind: Kind) -> float:
-    """All engines are lost for 20 s; then callers come back together."""
+    """Stops requests while the engines are lost, then adds a surge."""
     if 51.0 <= at < 70.0:
         return 0.0
     return 2.0 if 70.0 <= at < 85.0 else 0.7
@@ -190,12 +190,12 @@
     seed: int,
     duration_s: float = DURATION_S,
 ) -> trace.Trace:
-    """Makes a trace of one case.
+    """Generates a trace of one case.
 
     Args:
-        deployment: Whose fleet and services.
+        deployment: The deployment with the fleet and services.
         case: One of `CASES`.
-        seed: Of every random draw.
+        seed: Seeds all random draws.
         duration_s: Length of the trace.
     """
     rng = random.Random(f"{deployment.name}/{case}/{seed}")
@@ -241,7 +241,7 @@
 
 
 def _alternating_floods(deployment: Deployment) -> Shape:
-    """A team floods with readings while the others go on as always."""
+    """Floods with prefill-heavy requests half the time; others stay steady."""
 
     def shape(at: float, kind: Kind) -> float:
         if kind.service == deployment.prefill_heavy:
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/weights.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in for the weight store, which limits the rate of downloads."""
+"""A stand-in for the weight store, with a limited download rate."""
 
 import time
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class WeightStore:
-    """Answers some bytes for any model, so many times a second."""
+    """Serves arbitrary bytes for any model, at a limited rate."""
 
     def __init__(
         self, *, downloads_per_s: float = 1.0, size_bytes: int = _SIZE_BYTES
--- a/packages/bulrushgrade_standins/tests/test_engine.py
+++ b/packages/bulrushgrade_standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the model engine's stand-in, as a process."""
+"""Tests of the stand-in model engine, run as a process."""
 
 import contextlib
 import http.client
@@ -84,8 +84,8 @@
 
 @pytest.mark.parametrize("sent", [0, 1, 3])
 def test_connection_reset_mid_stream_truncates_answer(engine, sent):
-    # A user would see an answer stop at any word. The engine dies after so
-    # many tokens; what it sent must break off rather than look whole.
+    # The engine resets the connection after some tokens. The partial answer
+    # must fail at the caller rather than look complete.
     _fault(engine.address, die_after=sent, attempts=1)
     with pytest.raises((OSError, http.client.HTTPException)):
         _complete(engine.address, prompt="p", max_tokens=3, stream=True)
@@ -208,8 +208,8 @@
 
 
 def test_unfenced_engine_holds_two_orders_at_once(fleet):
-    # Shows that the ledger would tell of two conflicting orders, which is
-    # what the daemon's tests rely on.
+    # The ledger must show two conflicting orders, because the daemon's tests
+    # rely on it to detect them.
     options = ("--no-fencing", "--overlap", "--change-s", "0.3")
     engine = fleet.standin("engine", *options)
     _order(engine.address, "o1", 5, "decode")
@@ -237,7 +237,8 @@
 
 def test_sigterm_waits_for_requests_in_flight(fleet):
     engine = fleet.standin("engine")
-    # Read once here: two threads would both wait for the one line.
+    # Read the address before the thread starts: two threads would both wait
+    # for the only line.
     assert engine.address
     answers = []
 
--- a/packages/bulrushgrade_standins/tests/test_enginemodel.py
+++ b/packages/bulrushgrade_standins/tests/test_enginemodel.py
@@ -1,4 +1,4 @@
-"""Tests of the fake engine on the virtual clock."""
+"""Tests of the simulated engine on the virtual clock."""
 
 import pytest
 import simpy
@@ -8,7 +8,7 @@
 
 
 class _EngineBench:
-    """One engine and the times at which its jobs got on."""
+    """One engine, and the times of its jobs' progress."""
 
     def __init__(self, role=work.Role.MIXED):
         self.env = simpy.Environment()
--- a/packages/bulrushgrade_standins/tests/test_platform.py
+++ b/packages/bulrushgrade_standins/tests/test_platform.py
@@ -63,8 +63,8 @@
 
 
 def test_append_with_lost_answer_takes_effect(log):
-    # A publisher sees its connection break and can't know whether the record
-    # is there. It is; the next append is answered as usual.
+    # The connection is reset after the append took effect, so the publisher
+    # can't tell that the record is stored. The next append gets its answer.
     _fault(log, lose_answers=1, stream="documents")
     with pytest.raises((OSError, http.client.HTTPException)):
         _append(log, "lost")
@@ -126,8 +126,8 @@
 
 
 def test_link_silences_open_connections_only(fleet):
-    # A pooled connection looks alive though nothing comes through any more,
-    # while a new one works: something between has forgotten the old one.
+    # A pooled connection looks open but drops all bytes, while a new one works,
+    # as when a device in between has lost its state of the old one.
     plain = fleet.standin("plain")
     relay = fleet.standin("link", plain.address)
     host, port = relay.address.split(":")
--- a/packages/bulrushgrade_standins/tests/test_replay.py
+++ b/packages/bulrushgrade_standins/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""What callers get from the decisions under load, trace by trace."""
+"""Tests of replays: what callers get from the scheduler under load."""
 
 import functools
 import json
@@ -64,9 +64,9 @@
 
 
 def test_saturation_delivers_as_much_as_capacity():
-    """Four times the load that fills the fleet arrives.
+    """At four times the load that fills the fleet, goodput must not drop.
 
-    Without admission every answer is late, and the fleet works for nobody.
+    Without admission control every answer would be late.
     """
     full, over = (
         outcome.summarize(_replay_scheduler(case))["goodput_per_s"]
@@ -92,10 +92,10 @@
 
 
 def test_lost_engine_adds_few_retries():
-    """An engine is lost, and the host list tells of it two seconds late.
+    """An engine is lost, and the host list shows it up to two seconds late.
 
-    What it ran is tried again within the budget; what it does not even start
-    goes elsewhere, and soon no more is sent to it.
+    Requests that it ran are retried within the retry budget. Requests that it
+    rejects go to other engines, and soon no more are sent to it.
     """
     calls = len(_replay_scheduler("lost").calls)
     assert 0 < _replay_scheduler("lost").retries <= 0.1 * calls
@@ -107,10 +107,10 @@
 
 
 def test_wrong_role_split_is_corrected():
-    """Four of five engines read, and one answers.
+    """Four of five engines prefill, and one decodes.
 
-    Callers are refused for want of an engine that answers. One change or two
-    put it right; without the plan it would stay so.
+    Callers are refused because decode capacity is missing. One or two role
+    changes correct this; without the role plan it would remain.
     """
     made = _trace("wrong", 100.0)
     planned = outcome.summarize(replay.replay(made, seed=5))
@@ -130,9 +130,9 @@
 
 
 def test_role_change_interrupts_no_request():
-    """An engine changes its role in the middle of its answers.
+    """An engine is ordered to change its role while it decodes.
 
-    A caller would see an answer break off if the change did not drain first.
+    Answers would break off if the engine did not drain first.
     """
     run = replay.Replay(
         trace=_trace("steady"),
@@ -146,7 +146,7 @@
 
 
 class _SingleChange:
-    """Changes one engine's role, once."""
+    """A planner that changes the role of one engine once."""
 
     def __init__(self):
         self._done = False
