--- a/packages/bulrushgrade_standins/bulrushgrade_standins/baseline.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/baseline.py
@@ -1,7 +1,7 @@
-"""Plain policies that the decisions under load are measured against.
+"""Simple placement policies that the scheduler is compared with.
 
-They place at once and refuse nothing; callers leave at their deadlines. They
-offer what the replay asks of a scheduler.
+They place every request at once and refuse none for load; callers disconnect
+at their deadlines. They have the interface of a scheduler for the replay.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 MAX_ATTEMPTS = 3
 
 Pick = Callable[[list[work.Endpoint], dict[str, int]], work.Endpoint]
-"""Chooses among endpoints, given this host's outstanding requests."""
+"""Chooses an endpoint, given the outstanding requests of this host."""
 
 
 def round_robin() -> Pick:
-    """Returns a choice that takes the endpoints in turn."""
+    """Returns a function that picks the endpoints in turn."""
     turns = itertools.count()
 
     def pick(endpoints, _outstanding):
@@ -27,7 +27,7 @@
 
 
 def least_outstanding(rng: random.Random) -> Pick:
-    """Returns a choice of the endpoint with the fewest own requests."""
+    """Returns a function that picks the endpoint with fewest own requests."""
 
     def pick(endpoints, outstanding):
         return min(
@@ -39,51 +39,53 @@
 
 
 class Baseline:
-    """A host that places each request at once."""
+    """A policy that places each request at once."""
 
-    def __init__(self, *, read_pick: Pick, decode_pick: Pick):
-        self._read_pick = read_pick
+    def __init__(self, *, prefill_pick: Pick, decode_pick: Pick):
+        self._prefill_pick = prefill_pick
         self._decode_pick = decode_pick
         self._endpoints: tuple[work.Endpoint, ...] = ()
         self._outstanding: dict[str, int] = {}
         self._placed: dict[str, tuple[work.Work, work.Placed, int]] = {}
-        self._asked = [0, 0]
+        self._demand_tokens = [0, 0]
         self.retried = 0
 
     def set_policies(self, policies: tuple[work.ServicePolicy, ...]) -> None:
-        """Has no use for policies."""
+        """Does nothing: service policies are ignored."""
 
     def set_endpoints(
         self, endpoints: tuple[work.Endpoint, ...], now: float
     ) -> None:
-        """Replaces the view of the endpoints."""
+        """Replaces the known endpoints."""
         self._endpoints = endpoints
 
     def report(self, report: work.LoadReport, now: float) -> None:
-        """Has no use for reports."""
+        """Does nothing: load reports are ignored."""
 
     def peer_load(
         self, peer: str, loads: tuple[work.PeerLoad, ...], now: float
     ) -> None:
-        """Has no use for peers."""
+        """Does nothing: loads of peers are ignored."""
 
     def own_loads(self) -> tuple[work.PeerLoad, ...]:
-        """Publishes nothing."""
+        """Returns no loads, since none are published."""
         return ()
 
     def demand(self) -> tuple[work.Demand, ...]:
-        """Returns what was asked of this host, for the role plan."""
-        read, answered = self._asked
+        """Returns the cumulative demand at this host, for the role plan."""
+        prefill_tokens, output_tokens = self._demand_tokens
         return (
             work.Demand(
-                model="model", prefill_tokens=read, output_tokens=answered
+                model="model",
+                prefill_tokens=prefill_tokens,
+                output_tokens=output_tokens,
             ),
         )
 
     def offer(self, item: work.Work, now: float) -> work.Decision:
         """Places a request."""
-        self._asked[0] += item.prompt_tokens
-        self._asked[1] += item.output_tokens
+        self._demand_tokens[0] += item.prompt_tokens
+        self._demand_tokens[1] += item.output_tokens
         return self._place(item, 0, "")
 
     def retry(
@@ -95,7 +97,7 @@
         *,
         started: bool = True,
     ) -> work.Decision:
-        """Places a request again, a few times."""
+        """Places a request again, up to `MAX_ATTEMPTS` attempts."""
         item, _, attempt = self._placed[request_id]
         self._forget(request_id)
         if attempt + 1 >= MAX_ATTEMPTS:
@@ -104,25 +106,25 @@
         return self._place(item, attempt + 1, failed_endpoint)
 
     def poll(self, now: float) -> tuple[work.Placed | work.Refused, ...]:
-        """Has nothing waiting."""
+        """Returns nothing: no request waits."""
         return ()
 
     def next_poll(self, now: float) -> float | None:
-        """Has nothing waiting."""
+        """Returns nothing: no request waits."""
         return None
 
     def cancel(self, request_id: str, now: float) -> None:
-        """Forgets a request whose caller has gone."""
+        """Removes a request whose caller disconnected."""
         self._forget(request_id)
 
     def prefill_done(self, request_id: str, now: float) -> None:
-        """Has no use for it."""
+        """Does nothing: progress is ignored."""
 
     def first_token(self, request_id: str, now: float) -> None:
-        """Has no use for it."""
+        """Does nothing: progress is ignored."""
 
     def tokens(self, request_id: str, count: int, now: float) -> None:
-        """Has no use for it."""
+        """Does nothing: progress is ignored."""
 
     def finished(
         self,
@@ -131,7 +133,7 @@
         now: float,
         cached_tokens: int | None = None,
     ) -> None:
-        """Notes the end of a request."""
+        """Removes a finished request."""
         self._forget(request_id)
 
     def _place(
@@ -142,17 +144,17 @@
             for e in self._endpoints
             if e.state is work.EndpointState.SERVING and e.address != avoid
         ]
-        readers = [e for e in serving if e.role is not work.Role.DECODE]
+        prefillers = [e for e in serving if e.role is not work.Role.DECODE]
         decoders = [e for e in serving if e.role is not work.Role.PREFILL]
-        if not readers or not decoders:
+        if not prefillers or not decoders:
             return _refused(item)
-        reader = self._read_pick(readers, self._outstanding)
+        prefiller = self._prefill_pick(prefillers, self._outstanding)
         decoder = None
-        if reader.role is work.Role.PREFILL:
+        if prefiller.role is work.Role.PREFILL:
             decoder = self._decode_pick(decoders, self._outstanding).address
         placed = work.Placed(
             request_id=item.request_id,
-            endpoint=reader.address,
+            endpoint=prefiller.address,
             decode_endpoint=decoder,
         )
         self._placed[item.request_id] = (item, placed, attempt)
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/bound.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/bound.py
@@ -1,4 +1,4 @@
-"""What no policy could beat on a trace, and the best fixed split of roles."""
+"""An upper bound for any policy on a trace, and the best fixed role splits."""
 
 from collections.abc import Iterator
 
@@ -11,35 +11,35 @@
 
 
 def cost_s(request: traces.Request, cached_tokens: int) -> float:
-    """Returns the engine seconds of a request, at the best batch."""
+    """Returns the engine seconds of a request at the best batch size."""
     step = enginemodel.STEP_S + enginemodel.STEP_S_PER_REQUEST * BEST_BATCH
-    reading = request.prompt_tokens - cached_tokens
+    prefill_load = request.prompt_tokens - cached_tokens
     return (
-        reading / enginemodel.PREFILL_TOKENS_PER_S
+        prefill_load / enginemodel.PREFILL_TOKENS_PER_S
         + request.output_tokens * step / BEST_BATCH
     )
 
 
 def capacity_bound(trace: traces.Trace) -> int:
-    """Returns how many scored requests could at most be answered in time.
+    """Returns an upper bound on the scored requests answered in time.
 
-    Every engine is taken to serve from the first scored second until the
-    last deadline, at its best batch and with every prefix cached that has
-    been seen before, and the cheapest requests to come first. It is loose:
-    waiting, memory and the order of arrival are left out.
+    It assumes that every engine serves from the first scored second until the
+    last deadline, at its best batch size and with all prefixes cached that
+    have been seen before, and that the cheapest requests come first. The bound
+    is loose: it ignores waiting, memory and the order of arrival.
     """
     seen: set[tuple[str, int]] = set()
     costs = []
     start = trace.header.scored_from_s
-    longest = 0.0
+    max_deadline_s = 0.0
     for request in trace.requests:
         cached = all(part in seen for part in request.prefix)
         seen.update(request.prefix)
         if request.at_s >= start:
             shared = sum(tokens for _, tokens in request.prefix)
             costs.append(cost_s(request, shared if cached else 0))
-            longest = max(longest, request.deadline_s)
-    span = trace.header.duration_s - start + longest
+            max_deadline_s = max(max_deadline_s, request.deadline_s)
+    span = trace.header.duration_s - start + max_deadline_s
     left = len(trace.header.engines) * span
     count = 0
     for cost in sorted(costs):
@@ -51,16 +51,16 @@
 
 
 def best_splits(trace: traces.Trace, count: int) -> list[tuple[work.Role, ...]]:
-    """Returns the fixed splits that lose least of a trace's known demand.
+    """Returns the fixed role splits that serve the demand of a trace best.
 
     Args:
-        trace: The trace, known in advance.
-        count: How many splits to return, the best first.
+        trace: The trace, which is known in advance.
+        count: How many splits to return, best first.
     """
     demands = list(_windows(trace))
     engines = len(trace.header.engines)
     ranked = sorted(
-        (_loss(split, demands), split) for split in _splits(engines)
+        (_unserved_demand(split, demands), split) for split in _splits(engines)
     )
     return [
         (work.Role.PREFILL,) * p
@@ -83,21 +83,23 @@
     for request in trace.requests:
         window = sums.setdefault(int(request.at_s / FLUID_WINDOW_S), [0.0] * 2)
         shared = sum(tokens for _, tokens in request.prefix)
-        reading = request.prompt_tokens - shared
-        window[0] += reading / enginemodel.PREFILL_TOKENS_PER_S
+        prefill_load = request.prompt_tokens - shared
+        window[0] += prefill_load / enginemodel.PREFILL_TOKENS_PER_S
         window[1] += request.output_tokens * step / 24
-    for reading, answering in sums.values():
+    for prefill_load, decode_load in sums.values():
         yield (
-            reading / FLUID_WINDOW_S,
-            answering / FLUID_WINDOW_S,
+            prefill_load / FLUID_WINDOW_S,
+            decode_load / FLUID_WINDOW_S,
             len(trace.header.engines),
         )
 
 
-def _loss(split: tuple[int, int], demands) -> float:
+def _unserved_demand(split: tuple[int, int], demands) -> float:
     p, d = split
     total = 0.0
-    for reading, answering, engines in demands:
-        over = max(0.0, reading / 0.8 - p) + max(0.0, answering / 0.8 - d)
+    for prefill_load, decode_load, engines in demands:
+        over = max(0.0, prefill_load / 0.8 - p) + max(
+            0.0, decode_load / 0.8 - d
+        )
         total += max(0.0, over - 0.8 * (engines - p - d))
     return total
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/decisioncost.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/decisioncost.py
@@ -1,8 +1,7 @@
-"""What one decision costs, against the number of endpoints and hosts.
+"""Measures the cost of one decision by number of endpoints and peers.
 
-Run with ``python -m bulrushgrade_standins.decisioncost``; the figures are
-processor time of this process, so that other load on the machine counts
-little.
+Run with ``python -m bulrushgrade_standins.decisioncost``. It measures the CPU
+time of this process, so that other load on the machine matters little.
 """
 
 import random
@@ -21,23 +20,23 @@
 
 
 def measure(endpoints: int, peers: int) -> dict[str, float]:
-    """Returns microseconds of one decision of each kind.
+    """Returns the cost of one operation of each kind, in microseconds.
 
     Args:
-        endpoints: Engines in the view.
-        peers: Other hosts that have told of their loads.
+        endpoints: Number of known engines.
+        peers: Number of other hosts that have published their loads.
     """
     core = _make(endpoints, peers)
     return {
         "admit and place": _offer(core, placed=True),
         "admit and queue": _queue(_make(endpoints, peers), endpoints),
-        "peer's message": _hear(core, endpoints),
+        "peer's message": _peer_message(core, endpoints),
         "engine's report": _report(core, endpoints),
     }
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints the measurements as a Markdown table."""
     print("| endpoints | peers | " + " | ".join(measure(1, 0)) + " |")
     print("|---|---|" + "---|" * len(measure(1, 0)))
     for endpoints in ENDPOINTS:
@@ -75,10 +74,10 @@
 
 def _loads(endpoints: int, seed: int) -> tuple[work.PeerLoad, ...]:
     rng = random.Random(seed)
-    told = rng.sample(range(endpoints), min(endpoints, 5))
+    listed = rng.sample(range(endpoints), min(endpoints, 5))
     return tuple(
         work.PeerLoad(endpoint=f"e{number}", running=rng.randint(0, 1))
-        for number in told
+        for number in listed
     )
 
 
@@ -117,7 +116,7 @@
     return (time.process_time() - start) / DECISIONS * 1e6
 
 
-def _hear(core: scheduler.Scheduler, endpoints: int) -> float:
+def _peer_message(core: scheduler.Scheduler, endpoints: int) -> float:
     messages = [_loads(endpoints, number) for number in range(200)]
     start = time.process_time()
     for number in range(DECISIONS):
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/engine.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/engine.py
@@ -1,7 +1,8 @@
 """A stand-in for a model engine.
 
 It serves completions from a batch that runs in virtual time, publishes load
-and cache events late, takes orders, and brings faults about at a chosen token.
+reports and cache events with a delay, carries out orders, and injects faults
+at a chosen token.
 """
 
 import collections
@@ -23,25 +24,25 @@
 from bulrushgrade_standins import ledger
 from bulrushgrade_standins import server
 
-# Steps shorter than this run several at a time, with one write a stream for
-# all of them: what bounds the tokens a second is the number of writes.
+# Steps shorter than this run several at a time, with one write per stream for
+# all of them, because the number of writes limits the tokens per second.
 _TICK_S = 0.005
-# How far the batch may run ahead of the clock to make up for a busy process.
+# How far behind the clock a batch may fall in a busy process and catch up.
 _MAX_CATCH_UP_S = 0.05
 _KV_TOKENS_PER_S = 200_000.0
-_KEEP_REPORTS = 1000
+_MAX_LOAD_SAMPLES = 1000
 
 
 @attrs.define(kw_only=True)
 class EngineFaults(attempts.StreamFaults):
-    """What is wrong with the engine, besides its streams.
+    """Faults of the engine, in addition to those of its streams.
 
     Attributes:
-        slow_factor: How many times longer each step takes.
-        refuse: New work is refused as not started.
-        silent: Nothing is answered but the stand-in's own routes.
-        crash_changes: How many changes to come crash partway.
-        down_s: Seconds of being down after such a crash.
+        slow_factor: Factor on the duration of each step.
+        refuse: Rejects new work as not started.
+        silent: Answers nothing, except on the stand-in's own routes.
+        crash_changes: How many of the next changes crash partway.
+        down_s: Downtime after such a crash, in seconds.
     """
 
     slow_factor: float = 1.0
@@ -53,15 +54,15 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSettings:
-    """What an engine is like.
+    """Settings of a stand-in engine.
 
     Attributes:
-        start: The role, model, version and adapters it starts with.
-        limits: How fast and how large it is.
-        changes: How it takes orders.
-        speed: Virtual seconds of the batch in a second.
-        load_lag_s: Age of the figures in a load report.
-        cache_lag_s: Age at which cache events are told.
+        start: The initial role, model, version and adapters.
+        limits: Speed and capacity of the engine.
+        changes: How the engine handles orders.
+        speed: Virtual seconds of the batch per real second.
+        load_lag_s: Age of the values in a load report.
+        cache_lag_s: Age at which cache events are published.
     """
 
     start: change.Wanted = change.Wanted()
@@ -73,7 +74,7 @@
 
 
 class Engine:
-    """The engine's state and the app that serves it."""
+    """A model engine and the HTTP app that serves it."""
 
     def __init__(self, *, settings: EngineSettings):
         self._settings = settings
@@ -85,22 +86,22 @@
         self._batch = batch.Batch(limits=settings.limits, cache=self._cache)
         self._attempts: dict[str, attempts.Attempt] = {}
         self._by_sequence: dict[batch.Sequence, attempts.Attempt] = {}
-        self._exports = kvcache.Exports()
+        self._kv_exports = kvcache.KvExports()
         self._numbers = itertools.count()
-        self._changes = change.Changes(
+        self._changes = change.OrderExecutor(
             start=settings.start,
             settings=settings.changes,
-            entries=self._ledger,
+            ledger_entries=self._ledger,
             is_idle=lambda: not self._attempts,
-            take_crash_s=self._take_crash_s,
+            next_crash_s=self._next_crash_s,
             on_changed=self._on_changed,
         )
         self._tick: Any = None
         self._due_s = 0.0
-        self._reports: collections.deque[tuple[float, dict]] = (
-            collections.deque(maxlen=_KEEP_REPORTS)
+        self._samples: collections.deque[tuple[float, dict]] = (
+            collections.deque(maxlen=_MAX_LOAD_SAMPLES)
         )
-        self._idle: list[defer.Deferred] = []
+        self._idle_waiters: list[defer.Deferred] = []
         self._app = klein.Klein()
         self._add_routes()
 
@@ -116,7 +117,7 @@
         route("/drain", methods=["POST"])(self._post_drain)
         route("/kv/<handle>", methods=["GET"])(self._get_kv)
         route("/ledger", methods=["GET"])(self._get_ledger)
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=EngineFaults,
             read=lambda: self._faults,
@@ -130,35 +131,35 @@
 
     @property
     def ledger(self) -> ledger.Ledger:
-        """What has run and which orders were held."""
+        """The attempts that ran and the orders that were accepted."""
         return self._ledger
 
     def set_faults(self, faults: EngineFaults) -> None:
-        """Puts faults in force from now on."""
+        """Replaces the faults in effect."""
         self._faults = faults
 
     def drain(self) -> defer.Deferred:
-        """Refuses new work; fires when the work in flight is done."""
+        """Rejects new work; the Deferred fires when work in flight is done."""
         self._changes.drain()
         idle: defer.Deferred = defer.Deferred()
-        self._idle.append(idle)
+        self._idle_waiters.append(idle)
         self._check_idle()
         return idle
 
     # Requests
 
-    def _disturb(self, request: Any) -> defer.Deferred | None:
-        """Returns the outcome that a fault or a crash forces, or None."""
+    def _apply_fault(self, request: Any) -> defer.Deferred | None:
+        """Returns the response that a fault or a crash forces, or None."""
         if self._faults.silent:
-            return server.stay_silent()
+            return server.never_answer()
         if self._changes.state == "down":
             return server.abort(request)
         return None
 
     async def _post_completion(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return await forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return await fault_response
         attempt_id = server.read_header(request, "X-Attempt-Id")
         attempt_id = attempt_id or f"unnamed-{next(self._numbers)}"
         request.setHeader("X-Attempt-Id", attempt_id)
@@ -174,8 +175,8 @@
             return self._refuse(request, refusal)
         attempt = self._make_attempt(request, attempt_id, wanted)
         self._attempts[attempt_id] = attempt
-        # The caller's going away ends the attempt from here on.
-        done = attempt.watch(on_gone=self._end)
+        # From here on, a disconnect of the caller ends the attempt.
+        done = attempt.watch(on_disconnect=self._end)
         if wanted.kv_import is not None and not await self._import_kv(attempt):
             self._end(attempt, "cancelled")
             self._ledger.refused += 1
@@ -215,7 +216,7 @@
             index=wanted.resume_tokens,
             prefill_only=wanted.kv_export,
         )
-        # Tokens that the caller has are read like the prompt.
+        # Tokens that the caller already has are prefilled like the prompt.
         unread = sequence.prompt_tokens + wanted.resume_tokens
         sequence.prefill_tokens = 0 if wanted.kv_import else unread
         run = ledger.Run(
@@ -231,23 +232,23 @@
             wanted=wanted,
             sequence=sequence,
             run=run,
-            faults=attempts.take_faults(self._faults),
+            faults=attempts.consume_faults(self._faults),
         )
 
     def _delete_attempt(self, request: Any, attempt_id: str) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             self._end(attempt, "cancelled")
             attempt.finish(b"")
         return server.answer(request, {"cancelled": attempt is not None})
 
-    def _end(self, attempt: attempts.Attempt, how: str) -> None:
+    def _end(self, attempt: attempts.Attempt, outcome: str) -> None:
         if attempt.run.ended:
             return
-        attempt.run.ended = how
+        attempt.run.ended = outcome
         self._batch.remove(attempt.sequence)
         self._attempts.pop(attempt.run.attempt, None)
         self._by_sequence.pop(attempt.sequence, None)
@@ -257,7 +258,7 @@
         if self._attempts:
             return
         self._changes.check_idle()
-        waiting, self._idle = self._idle, []
+        waiting, self._idle_waiters = self._idle_waiters, []
         for idle in waiting:
             idle.callback(None)
 
@@ -269,16 +270,16 @@
             self._run_batch()
 
     def _run_batch(self) -> None:
-        pace = self._faults.slow_factor / self._settings.speed
+        time_scale = self._faults.slow_factor / self._settings.speed
         self._batch.now = time.monotonic()
         role = self._changes.current.role
-        taken_s, progress = self._batch.run(role, _TICK_S / pace)
+        taken_s, progress = self._batch.run(role, _TICK_S / time_scale)
         if not progress and taken_s == 0:
             self._tick = None
             return
         now = time.monotonic()
         start_s = max(self._due_s, now - _MAX_CATCH_UP_S)
-        self._due_s = start_s + taken_s * pace
+        self._due_s = start_s + taken_s * time_scale
         delay_s = max(0.0, self._due_s - now)
         self._tick = reactor.callLater(delay_s, self._deliver, progress)
 
@@ -295,21 +296,21 @@
         sequence = attempt.sequence
         if attempt.wanted.kv_export:
             if sequence.done:
-                handle = self._exports.export(sequence.prompt)
+                handle = self._kv_exports.export(sequence.prompt)
                 self._end(attempt, "done")
                 attempt.finish_export(handle)
             return
-        fate = attempt.write(start, stop)
-        if fate:
-            self._end(attempt, fate)
+        ending = attempt.write(start, stop)
+        if ending:
+            self._end(attempt, ending)
 
     # KV cache
 
     def _get_kv(self, request: Any, handle: str) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
-        prompt = self._exports.find(handle)
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
+        prompt = self._kv_exports.find(handle)
         if prompt is None:
             return server.answer(request, {"code": "gone"}, code=410)
         return server.answer(request, {"prompt": prompt})
@@ -325,40 +326,40 @@
 
     # Reports and orders
 
-    def _measure(self) -> dict[str, int]:
+    def _measure_load(self) -> dict[str, int]:
         return {
             "running": self._batch.running,
             "queued": self._batch.queued,
             "prefill_backlog_tokens": self._batch.backlog_tokens,
-            "kv_used": self._batch.kv_used_tokens + self._exports.tokens,
+            "kv_used": self._batch.kv_used_tokens + self._kv_exports.tokens,
             "kv_capacity": self._settings.limits.kv_capacity_tokens,
         }
 
     def _get_load(self, request: Any) -> Any:
         if self._faults.silent:
-            return server.stay_silent()
+            return server.never_answer()
         now = time.monotonic()
-        figures, age_s = self._read_figures(now)
-        report = change.describe(self._changes)
+        figures, age_s = self._sample_load(now)
+        report = change.describe_state(self._changes)
         return server.answer(request, {**report, **figures, "age_s": age_s})
 
-    def _read_figures(self, now: float) -> tuple[dict[str, int], float]:
-        """Returns figures as old as the lag, as far as they were taken.
+    def _sample_load(self, now: float) -> tuple[dict[str, int], float]:
+        """Returns load values as old as the lag, and their age.
 
-        Figures are taken when asked for, not by a clock: each question takes
-        them for a later one, so that an engine nobody asks costs nothing.
+        Each request takes a sample for later ones. No timer does, so an
+        engine that nobody polls costs nothing.
         """
         lag_s = self._settings.load_lag_s
-        self._reports.append((now, self._measure()))
-        while len(self._reports) > 1 and self._reports[1][0] <= now - lag_s:
-            self._reports.popleft()
-        taken_s, figures = self._reports[0]
+        self._samples.append((now, self._measure_load()))
+        while len(self._samples) > 1 and self._samples[1][0] <= now - lag_s:
+            self._samples.popleft()
+        taken_s, figures = self._samples[0]
         return figures, round(now - taken_s, 3)
 
     def _get_cache_events(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         start = int(server.read_number(request, "from", 0))
         until = time.monotonic() - self._settings.cache_lag_s
         events = self._cache.read_events(start, until)
@@ -366,28 +367,28 @@
         return server.answer(request, {"events": events, "next": after})
 
     def _post_order(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         order = change.parse_order(request.content.read())
         if order is None:
             return server.answer(request, {"code": "bad_order"}, code=400)
-        refusal = self._changes.take(order)
+        refusal = self._changes.submit(order)
         if refusal:
             return server.answer(request, {"code": refusal}, code=409)
         return server.answer(request, {"accepted": True}, code=202)
 
     def _post_drain(self, request: Any) -> Any:
-        forced = self._disturb(request)
-        if forced is not None:
-            return forced
+        fault_response = self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         self._changes.drain()
         return server.answer(request, {})
 
     def _get_ledger(self, request: Any) -> bytes:
         return server.answer(request, self._ledger)
 
-    def _take_crash_s(self) -> float | None:
+    def _next_crash_s(self) -> float | None:
         if self._faults.crash_changes <= 0:
             return None
         self._faults.crash_changes -= 1
--- a/packages/bulrushgrade_standins/bulrushgrade_standins/hostlist.py
+++ b/packages/bulrushgrade_standins/bulrushgrade_standins/hostlist.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's host list, which lags behind what is set."""
+"""A stand-in for the platform's host list, which shows changes late."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 
 @attrs.define(kw_only=True)
 class HostListFaults:
-    """What is wrong with the host list.
+    """Faults of the host list.
 
     Attributes:
-        outage: Reads are answered with 503.
-        silent: Reads are not answered.
-        nonsense: Reads are answered with bytes that aren't JSON.
+        outage: Answers reads with 503.
+        silent: Does not answer reads.
+        nonsense: Answers reads with bytes that aren't JSON.
     """
 
     outage: bool = False
@@ -25,17 +25,17 @@
 
 
 class HostList:
-    """The list as readers see it, and the app that serves it."""
+    """The list as readers see it, and the HTTP app that serves it."""
 
     def __init__(self, *, lag_s: float = 0.0):
         self._lag_s = lag_s
-        self._set_version = 0
-        self._seen: dict[str, Any] = {"version": 0, "hosts": []}
+        self._latest_version = 0
+        self._visible: dict[str, Any] = {"version": 0, "hosts": []}
         self._faults = HostListFaults()
         self._app = klein.Klein()
         self._app.route("/hosts", methods=["GET"])(self._get_hosts)
         self._app.route("/hosts", methods=["PUT"])(self._put_hosts)
-        server.route_faults(
+        server.add_fault_routes(
             app=self._app,
             kind=HostListFaults,
             read=lambda: self._faults,
@@ -53,37 +53,38 @@
         """Sets the list; readers see it after the lag.
 
         Args:
-            hosts: Entries as docs/WIRE.md describes them.
-            lag_s: Seconds of lag for this change; None takes the usual lag.
+            hosts: Entries as specified in docs/WIRE.md.
+            lag_s: Lag of this change in seconds; None uses the default lag.
 
         Returns:
             The version under which readers will see it.
         """
-        self._set_version += 1
-        seen = {"version": self._set_version, "hosts": hosts}
+        self._latest_version += 1
+        seen = {"version": self._latest_version, "hosts": hosts}
         delay_s = self._lag_s if lag_s is None else lag_s
         if delay_s > 0:
-            reactor.callLater(delay_s, self._show, seen)
+            reactor.callLater(delay_s, self._publish, seen)
         else:
-            self._show(seen)
-        return self._set_version
+            self._publish(seen)
+        return self._latest_version
 
-    def _show(self, seen: dict[str, Any]) -> None:
-        # A change with a long lag must not undo a later one with a short lag.
-        if seen["version"] > self._seen["version"]:
-            self._seen = seen
+    def _publish(self, seen: dict[str, Any]) -> None:
+        # A change with a long lag must not replace a later one with a short
+        # lag.
+        if seen["version"] > self._visible["version"]:
+            self._visible = seen
 
     def _set_faults(self, faults: HostListFaults) -> None:
         self._faults = faults
 
     def _get_hosts(self, request: Any) -> Any:
         if self._faults.silent:
-            return server.stay_silent()
+            return server.never_answer()
         if self._faults.outage:
             return server.answer(request, {"code": "outage"}, code=503)
         if self._faults.nonsense:
             return b"<nonsense>"
-        return server.answer(request, self._seen)
+        return server.answer(request, self._visible)
 
     def _put_hosts(self, request: Any) -> bytes:
         raw = server.read_json(request)
