--- a/packages/bulrushgrade/bulrushgrade/lease.py
+++ b/packages/bulrushgrade/bulrushgrade/lease.py
@@ -317,7 +317,7 @@
             del self._sent_at[next(iter(self._sent_at))]
         return append
 
-    def _apply_effective(self, entry: leaselog.Judged, now: float) -> None:
+    def _apply_effective(self, entry: leaselog.LeaseRecord, now: float) -> None:
         sent_at = self._sent_at.pop(entry.record_id, None)
         if sent_at is None or isinstance(entry.message, leaselog.Release):
             return
--- a/packages/bulrushgrade/bulrushgrade/leaselog.py
+++ b/packages/bulrushgrade/bulrushgrade/leaselog.py
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Judged:
+class LeaseRecord:
     """A decoded lease record with its position in the stream."""
 
     offset: int
@@ -115,7 +115,7 @@
         self._last_seen = -1
         self._term: int | None = None
         self._holder = ""
-        self._undecided: list[Judged] = []
+        self._undecided: list[LeaseRecord] = []
 
     @property
     def is_term_known(self) -> bool:
@@ -144,7 +144,7 @@
         self._term, self._holder = None, ""
         self._undecided = []
 
-    def apply(self, item: record.Record) -> tuple[Judged, ...] | None:
+    def apply(self, item: record.Record) -> tuple[LeaseRecord, ...] | None:
         """Processes the next record of the stream.
 
         Returns:
@@ -154,7 +154,7 @@
         parsed = CODEC.parse(item.body)
         if isinstance(parsed, Failure):
             return None
-        entry = Judged(
+        entry = LeaseRecord(
             offset=item.offset,
             record_id=item.record_id,
             message=parsed.unwrap(),
@@ -165,7 +165,7 @@
             else self._evaluate_after_gap(entry)
         )
 
-    def _evaluate(self, entry: Judged) -> tuple[Judged, ...]:
+    def _evaluate(self, entry: LeaseRecord) -> tuple[LeaseRecord, ...]:
         message = entry.message
         if isinstance(message, Claim):
             effective = (
@@ -182,7 +182,7 @@
             self._accept(entry)
         return (entry,) if effective else ()
 
-    def _accept(self, entry: Judged) -> None:
+    def _accept(self, entry: LeaseRecord) -> None:
         self._is_term_known = True
         self._last_effective = entry.offset
         if isinstance(entry.message, Release):
@@ -192,7 +192,9 @@
         self._term = entry.offset if claimed else entry.message.term
         self._holder = entry.message.holder
 
-    def _evaluate_after_gap(self, entry: Judged) -> tuple[Judged, ...]:
+    def _evaluate_after_gap(
+        self, entry: LeaseRecord
+    ) -> tuple[LeaseRecord, ...]:
         message, last_seen = entry.message, self._last_seen
         self._last_seen = entry.offset
         if isinstance(message, Claim):
@@ -209,7 +211,7 @@
                 return self._replay_from(index)
         return ()
 
-    def _replay_from(self, index: int) -> tuple[Judged, ...]:
+    def _replay_from(self, index: int) -> tuple[LeaseRecord, ...]:
         waiting, self._undecided = self._undecided[index:], []
         self._accept(waiting[0])
         found = [waiting[0]]
@@ -217,6 +219,6 @@
             found.extend(self._evaluate(entry))
         return tuple(found)
 
-    def _add_undecided(self, entry: Judged) -> None:
+    def _add_undecided(self, entry: LeaseRecord) -> None:
         self._undecided.append(entry)
         del self._undecided[:-MAX_UNDECIDED]
--- a/packages/bulrushgrade_cli/tests/test_demo.py
+++ b/packages/bulrushgrade_cli/tests/test_demo.py
@@ -57,7 +57,7 @@
     raise AssertionError(f"the demo ended early: {lines}")
 
 
-def test_ctrl_c_finishes_the_answer_under_way_and_exits_0(demo):
+def test_ctrl_c_completes_the_open_response_and_exits_0(demo):
     # Guards against stand-ins that stop before the daemon has finished a
     # streamed answer: Ctrl-C would then break the answer and print an error.
     lines = read_until(demo.stdout, "Ctrl-C")
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleetview.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/fleetview.py
@@ -129,14 +129,14 @@
         announced = set(self._in_zone(self._hosts(), self.own_zone))
         return sorted(announced - set(self._present_hosts()))
 
-    def other_zones(self, heard: Iterable[str]) -> set[str | None]:
+    def other_zones(self, present_hosts: Iterable[str]) -> set[str | None]:
         """Returns the other zones that have none of the given hosts.
 
         Args:
-            heard: The hosts whose zones are left out.
+            present_hosts: The present hosts, whose zones are left out.
         """
         zones = {self._zone_of(host) for host in self._hosts()}
-        known = {self._zone_of(host) for host in heard}
+        known = {self._zone_of(host) for host in present_hosts}
         return zones - known - {self.own_zone}
 
     def count_receivers(self) -> int:
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/host.py
@@ -107,10 +107,12 @@
         self._add_claims()
         self._add_peers()
         self._add_authority()
-        front = self._add_callers()
+        caller_service = self._add_callers()
         self._add_counts()
         operators = self._add_admin()
-        return Daemon(kernel=self._kernel, callers=front, admin=operators)
+        return Daemon(
+            kernel=self._kernel, callers=caller_service, admin=operators
+        )
 
     def _add(self, service: Any) -> Any:
         self._kernel.register(service)
@@ -194,7 +196,7 @@
             not_ready_reason=self._find_not_ready_reason,
             on_broken=self._kernel.fail,
         )
-        self._front = self._add(
+        self._caller_service = self._add(
             callers.Callers(
                 reactor=self._reactor,
                 settings=self._settings,
@@ -202,7 +204,7 @@
                 dependencies=dependencies,
             )
         )
-        return self._front
+        return self._caller_service
 
     def _make_latency_histograms(self) -> relay.LatencyHistograms:
         metrics_service = self._kernel.find("metrics")
@@ -286,7 +288,7 @@
                 kernel=self._kernel,
                 zone=self._settings.host.zone,
                 region=self._settings.host.region,
-                own_address=lambda: self._front.address,
+                own_address=lambda: self._caller_service.address,
                 own_peer_address=lambda: self._peers.address,
             )
         )
--- a/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
+++ b/packages/bulrushgrade_daemon/bulrushgrade_daemon/usagereporting.py
@@ -55,12 +55,12 @@
     Attributes:
         name: The reporter's incarnation.
         number: The number of its last known record.
-        heard_at: When it was last heard from.
+        last_contact_at: When it was last heard from.
     """
 
     name: str
     number: int
-    heard_at: float
+    last_contact_at: float
 
 
 class UsageReporting:
@@ -213,7 +213,7 @@
         reporter = self._reporter
         if reporter is None:
             return self._fleet.find_leader()
-        age_s = self._timers.now - reporter.heard_at
+        age_s = self._timers.now - reporter.last_contact_at
         if reporter.name == self._own_name or age_s < REPORTER_TIMEOUT_S:
             return reporter.name
         return self._fleet.find_leader()
@@ -227,7 +227,7 @@
             return
         if known is None or number >= known.number:
             self._reporter = _Reporter(
-                name=name, number=number, heard_at=self._timers.now
+                name=name, number=number, last_contact_at=self._timers.now
             )
 
     def _announce(self) -> None:
--- a/packages/bulrushgrade_daemon/tests/test_failures_daemon.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_daemon.py
@@ -40,7 +40,7 @@
     processes.wait_for(lambda: len(scene.read_runs(*addresses)) >= count)
 
 
-def test_killed_daemon_gives_no_answer_for_a_whole_one(made):
+def test_killed_daemon_leaves_detectably_incomplete_responses(made):
     # An entry host crashes during streams. The callers must see that their
     # answers are incomplete, the engines must stop working on them, and a new
     # daemon in its place must serve from the log alone. The engines are slow,
@@ -69,7 +69,7 @@
     scene.assert_whole(again, _TOKENS)
 
 
-def test_frozen_daemon_goes_on_with_its_answers(made):
+def test_paused_daemon_completes_its_responses_after_resuming(made):
     # A host is paused for some seconds during streams and resumes. Its callers
     # have waited and must get the rest, with no token repeated.
     daemon = made.start_daemon()
--- a/packages/bulrushgrade_daemon/tests/test_failures_leaving.py
+++ b/packages/bulrushgrade_daemon/tests/test_failures_leaving.py
@@ -59,7 +59,7 @@
     assert max(run["at_s"] for run in runs) < changed_s + _LEAVING_LIMIT_S
 
 
-def test_draining_engine_is_left_alone(made):
+def test_draining_engine_gets_no_new_requests(made):
     # An engine drains itself, for example before maintenance, while the host
     # list still shows it as live. It refuses new work. Callers must not notice,
     # and because of its own report it must soon get no more attempts.
